--- a/src/bench/capacity/java/badgermux/capacity/Model.java
+++ b/src/bench/capacity/java/badgermux/capacity/Model.java
@@ -144,7 +144,7 @@
         Demand front() {
             double state = open * slopes.get("heap.connection").slope();
             return demand("Client front", Demand.Kind.TRAFFIC, state, 2 * requests,
-                requests * slopes.get("bytes.request").at(1), 0, "Front, FrontConnection");
+                requests * slopes.get("bytes.request").at(1), 0, "Frontend, FrontendConnection");
         }
 
         Demand module() {
@@ -153,7 +153,7 @@
             double core = (requests * slopes.get("cpu.request").at(workers)
                 + entries * slopes.get("cpu.news").at(workers) + lists() * slopes.get("cpu.list").at(workers)) / MICROS;
             double events = requests * (1 + 2 * target.get("attemptsPerRequest") + probesPerRequest()) + entries;
-            return demand("Decision module", Demand.Kind.CONTROL, state, events, 0, core, "Dispatcher");
+            return demand("Decision module", Demand.Kind.CONTROL, state, events, 0, core, "DefaultDispatchPolicy");
         }
 
         /** Whole lists a second. */
@@ -175,7 +175,7 @@
             double core = (entries * slopes.get("cpu.parse").slope()
                 + lists() * (slopes.get("cpu.list.process").at(workers) - slopes.get("cpu.list").at(workers))) / MICROS;
             return demand("Discovery client", Demand.Kind.CONTROL, Math.max(0, state), 2 * (calls() + lists()), bytes, core,
-                "Discovery, ListDecoder");
+                "DiscoveryClient, BackendListCodec");
         }
 
         /** How much a process has served by then, as a size of the slopes of requests. */
@@ -188,7 +188,7 @@
             double sent = requests * target.get("attemptsPerRequest");
             double core = requests * Math.max(0, slopes.get("cpu.request.silent").at(served())) / MICROS;
             return demand("Worker connections: attempts", Demand.Kind.TRAFFIC, open * slopes.get("heap.connection").slope(),
-                2 * sent, sent * slopes.get("bytes.attempt").at(1), core, "Backends, AttemptExchange");
+                2 * sent, sent * slopes.get("bytes.attempt").at(1), core, "HttpBackendClient, AttemptExchange");
         }
 
         Demand probes() {
@@ -197,7 +197,7 @@
                 / slopes.get("probes.process").at(served());
             return demand("Worker connections: probes and reports", Demand.Kind.CONTROL, 0, 2 * probes,
                 probes * slopes.get("bytes.probe").at(1), probes * Math.max(0, oneProbe) / MICROS,
-                "Backends, ProbeExchange, Loads");
+                "HttpBackendClient, ProbeExchange, LoadReportParser");
         }
 
         /** By today's means: the whole file to each process, and a start, with the changes of so long gathered as may wait. */
@@ -213,14 +213,14 @@
             double looks = 1 / target.get("scrapeSeconds");
             double bytes = looks * slopes.get("bytes.metrics").at(target.get("classes"));
             double core = looks * slopes.get("cpu.metrics").at(target.get("teams")) / MICROS;
-            return demand("Operators' figures", Demand.Kind.CONTROL, 0, 2 * looks, bytes, core, "Metrics, FrontConnection");
+            return demand("Operators' figures", Demand.Kind.CONTROL, 0, 2 * looks, bytes, core, "Metrics, FrontendConnection");
         }
 
         /** A line for each worker that is listed for the first time; lines of workers set aside are bounded by the module. */
         Demand logs() {
             Slope start = slopes.get("bytes.log.start");
             double bytes = entriesOnAverage() * start.slope() + lists() * start.at(workers);
-            return demand("Logs", Demand.Kind.CONTROL, 0, lists() * workers + entriesOnAverage(), bytes, 0, "AsideWriter");
+            return demand("Logs", Demand.Kind.CONTROL, 0, lists() * workers + entriesOnAverage(), bytes, 0, "AsynchronousWriter");
         }
 
         /** The process with no request; a restart's own processor time is that of one start. */
@@ -230,7 +230,7 @@
                 : slopes.get("cpu.idle.age").at(GROWN_SECONDS) / MICROS;
             Slope heap = slopes.get("heap.process");
             double state = slopes.get("rss.process").at(workers) - (heap.at(workers) - heap.at(8));
-            return demand("Process: Java, idle rounds, start", Demand.Kind.CONTROL, state, 0, 0, core, "Server, Deadlines");
+            return demand("Process: Java, idle rounds, start", Demand.Kind.CONTROL, state, 0, 0, core, "DispatcherProcess, Deadlines");
         }
 
         /** Over all dispatchers. */
--- a/src/bench/capacity/java/badgermux/capacity/Tables.java
+++ b/src/bench/capacity/java/badgermux/capacity/Tables.java
@@ -109,13 +109,13 @@
         for (Situation situation : List.of(Situation.MACHINE, Situation.RACK, Situation.ZONE, Situation.REGION)) {
             rows.add(List.of("urgent work that waits behind the news of the loss: " + situation.label() + " ("
                 + number(model.workersLost(situation)) + " of " + number(target.get("workers")) + " workers, one by one)", seconds(model.newsSeconds(situation)), seconds(urgent),
-                ratio(model.newsSeconds(situation) / urgent), "`Dispatcher`"));
+                ratio(model.newsSeconds(situation) / urgent), "`DefaultDispatchPolicy`"));
         }
         double window = target.get("windowSeconds");
         rows.add(List.of("a whole list at the budget's rate", seconds(model.listSeconds(false)), seconds(window),
-            ratio(model.listSeconds(false) / window), "`Discovery`"));
+            ratio(model.listSeconds(false) / window), "`DiscoveryClient`"));
         rows.add(List.of("a whole list, indented, at the budget's rate", seconds(model.listSeconds(true)), seconds(window),
-            ratio(model.listSeconds(true) / window), "`Discovery`"));
+            ratio(model.listSeconds(true) / window), "`DiscoveryClient`"));
         return table(List.of("what", "takes", "allowed", "ratio", "mechanism"), rows);
     }
 
--- a/src/bench/java/badgermux/bench/DecideBench.java
+++ b/src/bench/java/badgermux/bench/DecideBench.java
@@ -1,11 +1,11 @@
 package badgermux.bench;
 
-import badgermux.decide.Dispatch;
-import badgermux.decide.Dispatch.Effect;
-import badgermux.decide.Dispatch.ListUpdate;
-import badgermux.decide.Dispatch.Outcome;
-import badgermux.decide.Dispatch.WorkerState;
-import badgermux.decide.Dispatcher;
+import badgermux.decide.DispatchPolicy;
+import badgermux.decide.DispatchPolicy.Effect;
+import badgermux.decide.DispatchPolicy.ListUpdate;
+import badgermux.decide.DispatchPolicy.Outcome;
+import badgermux.decide.DispatchPolicy.BackendState;
+import badgermux.decide.DefaultDispatchPolicy;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -35,7 +35,7 @@
 @Warmup(iterations = 3, time = 1)
 @Measurement(iterations = 5, time = 1)
 @Fork(1)
-public class DecideBench implements Dispatch.Actions {
+public class DecideBench implements DispatchPolicy.Actions {
     private static final long RUN = 300_000, GAP = 20_000;
 
     private record Due(long at, int token) { }
@@ -54,53 +54,53 @@
     private final ArrayDeque<Long> probes = new ArrayDeque<>();
     private final ArrayDeque<Sent> out = new ArrayDeque<>();
     private final ArrayDeque<Sent> sent = new ArrayDeque<>();
-    private final Dispatch.Report report = new Dispatch.Report();
-    private Dispatcher module;
-    private List<Dispatch.Worker> workers;
+    private final DispatchPolicy.LoadReport report = new DispatchPolicy.LoadReport();
+    private DefaultDispatchPolicy module;
+    private List<DispatchPolicy.Backend> workers;
     private long now;
     private long job;
 
     @Setup public void set() {
-        Dispatch.Settings s = new Dispatch.Settings();
-        s.dispatchers = 14;
-        s.probes = true;
-        s.reports = Dispatch.ReportMode.ON_PROBE;
-        s.cancels = true;
+        DispatchPolicy.Settings s = new DispatchPolicy.Settings();
+        s.dispatcherCount = 14;
+        s.mayProbe = true;
+        s.reportMode = DispatchPolicy.ReportMode.ON_PROBE;
+        s.mayCancel = true;
         s.maxAttempts = 1;
-        s.tellsStart = true;
-        s.connectionIdle = 15_000_000;
-        s.coldShare = 0.15;
-        s.coldFor = 1L << 39;
-        s.fallMultiple = 3;
-        s.fallWindow = 2_000_000;
-        s.classes.add(new Dispatch.JobClass("preview", Effect.REPEATABLE, Dispatch.Scope.ALL, 600_000, 1.75, 10_000_000, 0, 1,
+        s.backendsReportStart = true;
+        s.idleTimeoutMicros = 15_000_000;
+        s.coldCapacityShare = 0.15;
+        s.warmUpMicros = 1L << 39;
+        s.overloadMultiple = 3;
+        s.overloadWindowMicros = 2_000_000;
+        s.classes.add(new DispatchPolicy.RequestClass("preview", Effect.REPEATABLE, DispatchPolicy.DedupScope.ALL, 600_000, 1.75, 10_000_000, 0, 1,
             0, -1, false));
         now = 1L << 40;
         long cold = fleet.equals("cold") ? now : 0;
-        workers = new ArrayList<>(IntStream.range(0, runners).mapToObj(i -> new Dispatch.Worker(i * 0x9E3779B97F4A7C15L, i % 2,
-            0, i / 4, WorkerState.READY, i % 2 == 0 ? 0 : cold)).toList());
-        module = new Dispatcher(s, 7, this);
-        module.workers(now, ListUpdate.FULL, workers);
+        workers = new ArrayList<>(IntStream.range(0, runners).mapToObj(i -> new DispatchPolicy.Backend(i * 0x9E3779B97F4A7C15L, i % 2,
+            0, i / 4, BackendState.READY, i % 2 == 0 ? 0 : cold)).toList());
+        module = new DefaultDispatchPolicy(s, 7, this);
+        module.backendsListed(now, ListUpdate.FULL, workers);
     }
 
     @Benchmark public int job() {
         now += GAP;
         while (!timers.isEmpty() && timers.peek().at <= now) {
-            module.timer(now, timers.poll().token);
+            module.timerFired(now, timers.poll().token);
             start();
         }
         while (!out.isEmpty() && out.peek().due <= now) {
             Sent done = out.poll();
-            module.outcome(now, done.job, 0, done.worker, Outcome.SERVED, true, null);
+            module.attemptEnded(now, done.job, 0, done.worker, Outcome.SERVED, true, null);
             start();
         }
-        module.request(now, new Dispatch.Job(job++, 0, 0, 1, 0, 10_000_000));
+        module.requestReceived(now, new DispatchPolicy.Request(job++, 0, 0, 1, 0, 10_000_000));
         start();
         while (!probes.isEmpty()) {
             long id = probes.poll();
-            boolean cold = workers.get((int) Long.remainderUnsigned(id * 0xF1DE83E19937733DL, runners)).startedAt() > 0;
+            boolean cold = workers.get((int) Long.remainderUnsigned(id * 0xF1DE83E19937733DL, runners)).startedAtMicros() > 0;
             report.freeSlots = fleet.equals("free") || cold ? 4 : 0;
-            module.probed(now, id, true, report);
+            module.probeEnded(now, id, true, report);
             start();
         }
         return out.size();
@@ -108,7 +108,7 @@
 
     @Benchmark public int oneWorkersNews() {
         now += GAP;
-        module.workers(now, ListUpdate.DELTA, List.of(workers.get((int) (now / GAP % runners))));
+        module.backendsListed(now, ListUpdate.DELTA, List.of(workers.get((int) (now / GAP % runners))));
         return runners;
     }
 
@@ -120,11 +120,11 @@
     private void start() {
         for (Sent next = sent.poll(); next != null; next = sent.poll()) {
             out.add(next);
-            module.started(now, next.job, 0);
+            module.attemptStarted(now, next.job, 0);
         }
     }
 
-    @Override public void timer(long delay, int token) {
+    @Override public void startTimer(long delay, int token) {
         timers.add(new Due(now + delay, token));
     }
 
@@ -138,9 +138,9 @@
 
     @Override public void cancel(long id, int attempt) { }
 
-    @Override public void release(long worker) { }
+    @Override public void closeIdleConnections(long worker) { }
 
-    @Override public void watch() { }
+    @Override public void watchBackendList() { }
 
     @Override public void log(String line) { }
 }
--- a/src/bench/java/badgermux/bench/JudgeBench.java
+++ b/src/bench/java/badgermux/bench/JudgeBench.java
@@ -1,9 +1,9 @@
 package badgermux.bench;
 
-import badgermux.contract.Contracts;
-import badgermux.contract.Description;
+import badgermux.contract.ContractSet;
+import badgermux.contract.ApiDescription;
 import badgermux.contract.Document;
-import badgermux.contract.Request;
+import badgermux.contract.HttpRequest;
 import com.networknt.schema.Schema;
 import com.networknt.schema.SchemaRegistry;
 import com.networknt.schema.dialect.Dialects;
@@ -42,8 +42,8 @@
     public int size;
 
     private byte[] body;
-    private Contracts contracts;
-    private Request request;
+    private ContractSet contracts;
+    private HttpRequest request;
     private Schema bare;
     private final JsonMapper mapper = new JsonMapper();
 
@@ -58,9 +58,9 @@
         String description = "{\"openapi\":\"3.1.0\",\"paths\":{\"/publish/{paper}\":{\"post\":{\"parameters\":[{\"name\":\"paper\","
             + "\"in\":\"path\",\"required\":true,\"schema\":{\"type\":\"string\"}}],\"requestBody\":{\"content\":{\"application/json\":"
             + "{\"schema\":" + SCHEMA + "}}}}}}}";
-        contracts = Contracts.of(1, List.of(Description.compile("d",
+        contracts = ContractSet.of(1, List.of(ApiDescription.compile("d",
             Document.read("d", description.getBytes(StandardCharsets.UTF_8)), List.of())), false);
-        request = new Request("POST", "/publish/nhan-dan",
+        request = new HttpRequest("POST", "/publish/nhan-dan",
             name -> name.equals("Content-Type") ? List.of("application/json") : List.of(), body);
         bare = SchemaRegistry.withDefaultDialect(Dialects.getOpenApi31()).getSchema(SCHEMA);
         if (!judged() || !bare()) {
@@ -70,7 +70,7 @@
 
     /** Route, parameter, strict reading and validation, with steps counted. */
     @Benchmark public boolean judged() {
-        return contracts.judge(request).verdict().conforms();
+        return contracts.validate(request).result().conforms();
     }
 
     /** Reading and validation by the libraries as they come. */
--- a/src/bench/java/badgermux/bench/RouteBench.java
+++ b/src/bench/java/badgermux/bench/RouteBench.java
@@ -1,9 +1,9 @@
 package badgermux.bench;
 
-import badgermux.contract.Contracts;
-import badgermux.contract.Description;
+import badgermux.contract.ContractSet;
+import badgermux.contract.ApiDescription;
 import badgermux.contract.Document;
-import badgermux.contract.Request;
+import badgermux.contract.HttpRequest;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
@@ -31,26 +31,26 @@
     @Param({"10", "1000", "10000"})
     public int routes;
 
-    private Contracts contracts;
-    private Request[] requests;
+    private ContractSet contracts;
+    private HttpRequest[] requests;
     private int next;
 
     @Setup public void set() throws Exception {
         StringBuilder text = new StringBuilder("{\"openapi\":\"3.1.0\",\"paths\":{");
-        requests = new Request[1024];
+        requests = new HttpRequest[1024];
         for (int i = 0; i < routes; i++) {
             text.append(i == 0 ? "" : ",").append("\"/preview/r").append(i).append("/{id}/part\":{\"post\":{\"parameters\":[{"
                 + "\"name\":\"id\",\"in\":\"path\",\"required\":true,\"schema\":true}]}}");
         }
-        contracts = Contracts.of(1, List.of(Description.compile("d",
+        contracts = ContractSet.of(1, List.of(ApiDescription.compile("d",
             Document.read("d", text.append("}}").toString().getBytes(StandardCharsets.UTF_8)), List.of())), false);
         for (int i = 0; i < requests.length; i++) {
-            requests[i] = new Request("POST", "/preview/r" + (int) ((i * 7919L) % routes) + "/x/part", name -> List.of(),
+            requests[i] = new HttpRequest("POST", "/preview/r" + (int) ((i * 7919L) % routes) + "/x/part", name -> List.of(),
                 new byte[0]);
         }
     }
 
     @Benchmark public boolean lookUp() {
-        return contracts.judgeQuickly(requests[next++ & 1023]).verdict().conforms();
+        return contracts.validateQuickly(requests[next++ & 1023]).result().conforms();
     }
 }
--- a/src/bench/java/badgermux/bench/Saturate.java
+++ b/src/bench/java/badgermux/bench/Saturate.java
@@ -1,7 +1,7 @@
 package badgermux.bench;
 
-import badgermux.http.BadMessage;
-import badgermux.http.Head;
+import badgermux.http.InvalidMessageException;
+import badgermux.http.MessageHead;
 import badgermux.http.MessageReader;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
@@ -269,7 +269,7 @@
     }
 
     /** A client's connection: closed loop, or one request when it is told to, timed. */
-    private final class Asking extends ChannelInboundHandlerAdapter implements MessageReader.Sink {
+    private final class Asking extends ChannelInboundHandlerAdapter implements MessageReader.Listener {
         private final MessageReader reader = new MessageReader(true, 65_536, this);
         private final java.util.ArrayDeque<Long> times = new java.util.ArrayDeque<>();
         private final boolean closedLoop;
@@ -301,7 +301,7 @@
                 + "Content-Length: " + BODY.length + "\r\n\r\n").getBytes(StandardCharsets.ISO_8859_1), BODY));
         }
 
-        @Override public void channelRead(ChannelHandlerContext ctx, Object message) throws BadMessage {
+        @Override public void channelRead(ChannelHandlerContext ctx, Object message) throws InvalidMessageException {
             ByteBuf in = (ByteBuf) message;
             while (in.isReadable() && reader.read(in)) {
                 answers.incrementAndGet();
@@ -318,13 +318,13 @@
             in.release();
         }
 
-        @Override public void head(Head head) throws BadMessage {
+        @Override public void onHead(MessageHead head) throws InvalidMessageException {
             if (head.status() != 200) {
                 bad.incrementAndGet();
             }
         }
 
-        @Override public void body(byte[] bytes) { }
+        @Override public void onBody(byte[] bytes) { }
     }
 
     // ---- Stand-ins
@@ -340,7 +340,7 @@
     }
 
     /** A backend that is done at once, or a discovery service that never has news. */
-    private static final class Answering extends ChannelInboundHandlerAdapter implements MessageReader.Sink {
+    private static final class Answering extends ChannelInboundHandlerAdapter implements MessageReader.Listener {
         private final MessageReader reader = new MessageReader(false, 65_536, this);
         private final boolean backend;
         private String id;
@@ -349,7 +349,7 @@
             this.backend = backend;
         }
 
-        @Override public void channelRead(ChannelHandlerContext ctx, Object message) throws BadMessage {
+        @Override public void channelRead(ChannelHandlerContext ctx, Object message) throws InvalidMessageException {
             ByteBuf in = (ByteBuf) message;
             while (in.isReadable() && reader.read(in)) {
                 if (backend) {
@@ -362,10 +362,10 @@
             in.release();
         }
 
-        @Override public void head(Head head) {
+        @Override public void onHead(MessageHead head) {
             id = head.get("X-Request-ID");
         }
 
-        @Override public void body(byte[] bytes) { }
+        @Override public void onBody(byte[] bytes) { }
     }
 }
--- a/src/bench/java/badgermux/capacity/MeasureModule.java
+++ b/src/bench/java/badgermux/capacity/MeasureModule.java
@@ -1,15 +1,15 @@
 package badgermux.capacity;
 
-import badgermux.core.Asker;
+import badgermux.core.ResponseListener;
 import badgermux.core.Deadlines;
 import badgermux.core.Engine;
-import badgermux.core.Outbound;
-import badgermux.decide.Dispatch;
-import badgermux.decide.Dispatch.ListUpdate;
-import badgermux.decide.Dispatcher;
-import badgermux.discovery.ListDecoder;
-import badgermux.http.Bytes;
-import badgermux.http.Relay;
+import badgermux.core.BackendClient;
+import badgermux.decide.DispatchPolicy;
+import badgermux.decide.DispatchPolicy.ListUpdate;
+import badgermux.decide.DefaultDispatchPolicy;
+import badgermux.discovery.BackendListCodec;
+import badgermux.http.MessageEncoder;
+import badgermux.http.ForwardedRequest;
 import badgermux.metrics.Metrics;
 import com.google.gson.GsonBuilder;
 import com.google.gson.JsonParser;
@@ -95,7 +95,7 @@
             recorder.add("cpu.zone.single", size, timeZone(rig, true));
             recorder.add("cpu.zone.whole", size, timeZone(rig, false));
             String list = list(size);
-            recorder.add("cpu.parse", size, time(turn -> kept += ListDecoder.decode(list).hashCode()));
+            recorder.add("cpu.parse", size, time(turn -> kept += BackendListCodec.decode(list).hashCode()));
         }
         for (int classes : CLASSES) {
             ModuleRig rig = new ModuleRig(TARGET_WORKERS, classes, 0);
@@ -180,32 +180,32 @@
     }
 
     /** An engine with so many requests, each with one attempt out at a worker that never answers. */
-    private static final class OpenRequests implements Outbound<Relay>, Asker {
+    private static final class OpenRequests implements BackendClient<ForwardedRequest>, ResponseListener {
         private static final long PATIENCE = 10_000_000;
-        private final Engine<Relay> engine;
+        private final Engine<ForwardedRequest> engine;
 
         OpenRequests(int open) {
             Metrics metrics = new Metrics(List.of("class0"));
             long now = System.nanoTime() / 1000;
             Deadlines deadlines = new Deadlines(() -> now, at -> { }, metrics);
-            Dispatch.Settings settings = ModuleRig.settings(1, 0);
-            settings.reports = Dispatch.ReportMode.NEVER;
-            settings.probes = false;
+            DispatchPolicy.Settings settings = ModuleRig.settings(1, 0);
+            settings.reportMode = DispatchPolicy.ReportMode.NEVER;
+            settings.mayProbe = false;
             engine = new Engine<>(() -> now, deadlines, metrics, settings.maxAttempts);
-            engine.join(new Dispatcher(settings, 7, engine), this, () -> { });
-            engine.workers(ListUpdate.FULL, IntStream.range(0, 60).mapToObj(i -> new Dispatch.Worker(i * 0x9E3779B97F4A7C15L,
-                0, 0, 0, Dispatch.WorkerState.READY, 0)).toList());
+            engine.connect(new DefaultDispatchPolicy(settings, 7, engine), this, () -> { });
+            engine.backendsListed(ListUpdate.FULL, IntStream.range(0, 60).mapToObj(i -> new DispatchPolicy.Backend(i * 0x9E3779B97F4A7C15L,
+                0, 0, 0, DispatchPolicy.BackendState.READY, 0)).toList());
             for (int i = 0; i < open; i++) {
                 String id = String.format("%016x", i);
-                Relay relay = new Relay(id, "POST /preview/a HTTP/1.1", "X-Request-ID: " + id + "\r\n", new byte[64], null);
-                engine.take(this, relay, 0, 0, 1, now + PATIENCE, true);
+                ForwardedRequest relay = new ForwardedRequest(id, "POST /preview/a HTTP/1.1", "X-Request-ID: " + id + "\r\n", new byte[64], null);
+                engine.submit(this, relay, 0, 0, 1, now + PATIENCE, true);
             }
-            if (engine.open() < open) {
-                throw new IllegalStateException("only " + engine.open() + " of " + open + " requests are open");
+            if (engine.openRequestCount() < open) {
+                throw new IllegalStateException("only " + engine.openRequestCount() + " of " + open + " requests are open");
             }
         }
 
-        @Override public void attempt(long attempt, long backend, Relay payload, long limit) { }
+        @Override public void startAttempt(long attempt, long backend, ForwardedRequest payload, long limit) { }
 
         @Override public void abort(long attempt) { }
 
@@ -215,13 +215,13 @@
 
         @Override public void probe(long backend) { }
 
-        @Override public void release(long backend) { }
+        @Override public void closeIdleConnections(long backend) { }
 
-        @Override public void served(byte[] result) { }
+        @Override public void onServed(byte[] result) { }
 
-        @Override public void synthetic(long comeBack) { }
+        @Override public void onRefused(long comeBack) { }
 
-        @Override public void failed(boolean late) { }
+        @Override public void onFailed(boolean late) { }
     }
 
     // ---- Messages
@@ -260,20 +260,20 @@
 
     private static double answered(String body) {
         byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
-        return Bytes.response(200, "OK", "", bytes, true).readableBytes();
+        return MessageEncoder.response(200, "OK", "", bytes, true).readableBytes();
     }
 
     private static double watchCall() {
-        return Bytes.get("/v1/servers?since=123456&timeout_ms=5000", "10.2.0.1:8500").readableBytes();
+        return MessageEncoder.getRequest("/v1/servers?since=123456&timeout_ms=5000", "10.2.0.1:8500").readableBytes();
     }
 
     private static double probe() {
-        return Bytes.get("/load", "10.1.200.118:5000").readableBytes() + answered("TEXT x0=2, x1=2048, latency_ms=431, qps=2.5");
+        return MessageEncoder.getRequest("/load", "10.1.200.118:5000").readableBytes() + answered("TEXT x0=2, x1=2048, latency_ms=431, qps=2.5");
     }
 
     private static double attempt() {
         String id = "9b1f03aa5c7e2d41";
-        Relay relay = new Relay(id, "POST /preview/nhan-dan HTTP/1.1", requestHeaders(id), new byte[64], null);
+        ForwardedRequest relay = new ForwardedRequest(id, "POST /preview/nhan-dan HTTP/1.1", requestHeaders(id), new byte[64], null);
         String started = "{\"id\":\"" + id + "\",\"from\":\"s-0badcafe\",\"state\":\"started\"}\n";
         String done = "{\"id\":\"" + id + "\",\"from\":\"s-0badcafe\",\"state\":\"done\",\"result\":\"" + "r".repeat(64) + "\"}\n";
         return relay.encode("10.1.200.118:5000", 5000).readableBytes() + answered(started + done);
@@ -281,7 +281,7 @@
 
     private static double request() {
         String id = "9b1f03aa5c7e2d41";
-        return Bytes.message("POST /preview/nhan-dan HTTP/1.1\r\nHost: 10.0.0.4:5000\r\n" + requestHeaders(id)
+        return MessageEncoder.message("POST /preview/nhan-dan HTTP/1.1\r\nHost: 10.0.0.4:5000\r\n" + requestHeaders(id)
             + "X-Timeout: 5000m\r\nContent-Length: 64\r\n", new byte[64]).readableBytes() + answered("r".repeat(64));
     }
 
--- a/src/lab/java/badgermux/lab/Fleet.java
+++ b/src/lab/java/badgermux/lab/Fleet.java
@@ -1,12 +1,12 @@
 package badgermux.lab;
 
-import badgermux.decide.Dispatch;
-import badgermux.decide.Dispatch.Effect;
-import badgermux.decide.Dispatch.ListUpdate;
-import badgermux.decide.Dispatch.Outcome;
-import badgermux.decide.Dispatch.Scope;
-import badgermux.decide.Dispatch.WorkerState;
-import badgermux.decide.Dispatcher;
+import badgermux.decide.DispatchPolicy;
+import badgermux.decide.DispatchPolicy.Effect;
+import badgermux.decide.DispatchPolicy.ListUpdate;
+import badgermux.decide.DispatchPolicy.Outcome;
+import badgermux.decide.DispatchPolicy.DedupScope;
+import badgermux.decide.DispatchPolicy.BackendState;
+import badgermux.decide.DefaultDispatchPolicy;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -125,14 +125,14 @@
     }
 
     /** A dispatcher: the real module, and its actions as they come out in this world. */
-    final class Instance implements Dispatch.Actions {
+    final class Instance implements DispatchPolicy.Actions {
         final int number;
         final int zone;
         private final UniformRandomProvider net;
         private final Map<Long, Job> jobs = new HashMap<>();
         private final Map<Long, Long> usedAt = new HashMap<>();
-        private Dispatcher module;
-        private Dispatch.Zones zones;
+        private DefaultDispatchPolicy module;
+        private DispatchPolicy.ZoneLimits zones;
         private int life;
         private boolean down;
 
@@ -147,18 +147,18 @@
             down = false;
             jobs.clear();
             usedAt.clear();
-            Dispatch.Heritage left = module == null || !scenario.heirs ? null : module.leave();
-            Dispatch.Settings s = settings(number, zone);
+            DispatchPolicy.LearnedState left = module == null || !scenario.heirs ? null : module.exportLearnedState();
+            DispatchPolicy.Settings s = settings(number, zone);
             zones = policy.apply(s, stream(5_000 + 100L * life + number));
-            module = new Dispatcher(s, new SplittableRandom(seed * 31 + number + 1_000L * life).nextLong(), this, zones);
-            List<Dispatch.Worker> known = new ArrayList<>();
+            module = new DefaultDispatchPolicy(s, new SplittableRandom(seed * 31 + number + 1_000L * life).nextLong(), this, zones);
+            List<DispatchPolicy.Backend> known = new ArrayList<>();
             for (Node node : nodes.values()) {
-                known.add(new Dispatch.Worker(node.id, node.zone, node.kind, 0, listed.get(node.id) ? WorkerState.READY
-                    : WorkerState.GONE, listedStart.get(node.id)));
+                known.add(new DispatchPolicy.Backend(node.id, node.zone, node.kind, 0, listed.get(node.id) ? BackendState.READY
+                    : BackendState.GONE, listedStart.get(node.id)));
             }
-            module.workers(now(), ListUpdate.FULL, known);
+            module.backendsListed(now(), ListUpdate.FULL, known);
             if (left != null) {
-                module.inherit(left);
+                module.importLearnedState(left);
             }
         }
 
@@ -169,15 +169,15 @@
         }
 
         void list(Node node, boolean ready, long startedAt) {
-            module.workers(now(), ListUpdate.DELTA, List.of(new Dispatch.Worker(node.id, node.zone, node.kind, 0,
-                ready ? WorkerState.READY : WorkerState.GONE, startedAt)));
+            module.backendsListed(now(), ListUpdate.DELTA, List.of(new DispatchPolicy.Backend(node.id, node.zone, node.kind, 0,
+                ready ? BackendState.READY : BackendState.GONE, startedAt)));
         }
 
         void take(Wish wish) {
             Job job = new Job(nextJob++, wish, now() + (long) (KINDS.get(wish.kind).giveUp * 1e6));
             result.jobs++;
             jobs.put(job.id, job);
-            module.request(now(), new Dispatch.Job(job.id, wish.kind, 0, wish.slots, 0, job.until - 30_000 - now()));
+            module.requestReceived(now(), new DispatchPolicy.Request(job.id, wish.kind, 0, wish.slots, 0, job.until - 30_000 - now()));
         }
 
         private long delay(int to) {
@@ -214,7 +214,7 @@
         void started(Attempt a, int mine) {
             agenda.after(delay(a.node.zone), () -> {
                 if (mine == life && !a.over) {
-                    module.started(now(), a.job.id, a.number);
+                    module.attemptStarted(now(), a.job.id, a.number);
                 }
             });
         }
@@ -240,7 +240,7 @@
             } else if (outcome != Outcome.REJECTED) {
                 usedAt.remove(a.node.id);
             }
-            module.outcome(now(), a.job.id, a.number, a.node.id, outcome, a.job.answers > 0, null);
+            module.attemptEnded(now(), a.job.id, a.number, a.node.id, outcome, a.job.answers > 0, null);
         }
 
         @Override public void cancel(long id, int attempt) {
@@ -276,11 +276,11 @@
             answered(job, served, comeBack);
         }
 
-        @Override public void timer(long delay, int token) {
+        @Override public void startTimer(long delay, int token) {
             int mine = life;
             agenda.after(delay, () -> {
                 if (mine == life) {
-                    module.timer(now(), token);
+                    module.timerFired(now(), token);
                 }
             });
         }
@@ -291,20 +291,20 @@
             boolean answers = node.up && !node.fallen;
             agenda.after(answers ? 2 * delay(node.zone) : node.silent ? PROBE : delay(node.zone), () -> {
                 if (mine == life) {
-                    Dispatch.Report report = new Dispatch.Report();
+                    DispatchPolicy.LoadReport report = new DispatchPolicy.LoadReport();
                     report.freeSlots = Math.max(0, node.reported);
-                    report.recentRun = scenario.tellsRuns ? 1e6 * KINDS.stream().mapToDouble(k -> k.share * k.run).sum()
+                    report.recentRunMicros = scenario.tellsRuns ? 1e6 * KINDS.stream().mapToDouble(k -> k.share * k.run).sum()
                         / node.speed / node.warmth(now()) : Double.NaN;
-                    module.probed(now(), worker, answers && node.up, answers ? report : null);
+                    module.probeEnded(now(), worker, answers && node.up, answers ? report : null);
                 }
             });
         }
 
-        @Override public void release(long worker) {
+        @Override public void closeIdleConnections(long worker) {
             usedAt.remove(worker);
         }
 
-        @Override public void watch() { }
+        @Override public void watchBackendList() { }
 
         @Override public void log(String line) {
             if (line.startsWith("zone ")) {
@@ -318,7 +318,7 @@
 
     private final Scenario scenario;
     private final long seed;
-    private final BiFunction<Dispatch.Settings, UniformRandomProvider, Dispatch.Zones> policy;
+    private final BiFunction<DispatchPolicy.Settings, UniformRandomProvider, DispatchPolicy.ZoneLimits> policy;
     private final Agenda agenda = new Agenda();
     private final Map<Long, Node> nodes = new HashMap<>();
     private final Map<Long, Boolean> listed = new HashMap<>();
@@ -336,7 +336,7 @@
     private double rate;
     private int lossesSeen;
 
-    Fleet(Scenario scenario, long seed, BiFunction<Dispatch.Settings, UniformRandomProvider, Dispatch.Zones> policy) {
+    Fleet(Scenario scenario, long seed, BiFunction<DispatchPolicy.Settings, UniformRandomProvider, DispatchPolicy.ZoneLimits> policy) {
         this.scenario = scenario;
         this.seed = seed;
         this.policy = policy;
@@ -748,30 +748,30 @@
         }
     }
 
-    private Dispatch.Settings settings(int number, int zone) {
-        Dispatch.Settings s = new Dispatch.Settings();
-        s.dispatchers = scenario.zones * scenario.dispatchersPerZone;
-        s.index = number;
-        s.zone = zone;
-        s.kinds = 2;
+    private DispatchPolicy.Settings settings(int number, int zone) {
+        DispatchPolicy.Settings s = new DispatchPolicy.Settings();
+        s.dispatcherCount = scenario.zones * scenario.dispatchersPerZone;
+        s.dispatcherIndex = number;
+        s.ownZone = zone;
+        s.kindCount = 2;
         for (Kind kind : KINDS) {
-            s.classes.add(new Dispatch.JobClass(kind.name, kind.effect, Scope.ZONE, (long) (kind.aim * 1e6), kind.stretch,
+            s.classes.add(new DispatchPolicy.RequestClass(kind.name, kind.effect, DedupScope.ZONE, (long) (kind.aim * 1e6), kind.stretch,
                 (long) (kind.giveUp * 1e6), 40_000_000, kind.worth, 0, -1, false));
         }
-        s.reports = Dispatch.ReportMode.ON_PROBE;
-        s.probes = true;
+        s.reportMode = DispatchPolicy.ReportMode.ON_PROBE;
+        s.mayProbe = true;
         s.listPushed = true;
-        s.connectionIdle = IDLE;
-        s.connectPrice = 0.01;
-        s.cancels = true;
-        s.parallelAttempts = true;
+        s.idleTimeoutMicros = IDLE;
+        s.connectCost = 0.01;
+        s.mayCancel = true;
+        s.mayHedge = true;
         s.maxAttempts = 3;
-        s.longestComeBack = 2_000_000;
-        s.tellsStart = true;
-        s.coldShare = Node.COLD_SHARE;
-        s.coldFor = 23_000_000;
-        s.fallMultiple = Node.FALL_MULTIPLE;
-        s.fallWindow = Node.FALL_WINDOW;
-        return s.checked();
+        s.maxRetryAfterMicros = 2_000_000;
+        s.backendsReportStart = true;
+        s.coldCapacityShare = Node.COLD_SHARE;
+        s.warmUpMicros = 23_000_000;
+        s.overloadMultiple = Node.FALL_MULTIPLE;
+        s.overloadWindowMicros = Node.FALL_WINDOW;
+        return s.validated();
     }
 }
--- a/src/lab/java/badgermux/lab/Policies.java
+++ b/src/lab/java/badgermux/lab/Policies.java
@@ -1,6 +1,6 @@
 package badgermux.lab;
 
-import badgermux.decide.Dispatch;
+import badgermux.decide.DispatchPolicy;
 import badgermux.zone.ZonePolicy;
 import badgermux.zone.ZoneSettings;
 import java.util.HashMap;
@@ -15,33 +15,33 @@
     private Policies() { }
 
     /** By name: zones, and what they are measured against. */
-    static Map<String, BiFunction<Dispatch.Settings, UniformRandomProvider, Dispatch.Zones>> all(int zones) {
-        Map<String, BiFunction<Dispatch.Settings, UniformRandomProvider, Dispatch.Zones>> all = new LinkedHashMap<>();
+    static Map<String, BiFunction<DispatchPolicy.Settings, UniformRandomProvider, DispatchPolicy.ZoneLimits>> all(int zones) {
+        Map<String, BiFunction<DispatchPolicy.Settings, UniformRandomProvider, DispatchPolicy.ZoneLimits>> all = new LinkedHashMap<>();
         all.put("zones", (s, random) -> new ZonePolicy(settings(s, zones)));
         all.put("off", (s, random) -> null);
-        all.put("list failover", (s, random) -> new ListFailover(s.zone, zones));
-        all.put("envoy-like", (s, random) -> new EnvoyLike(s.zone, zones, random));
+        all.put("list failover", (s, random) -> new ListFailover(s.ownZone, zones));
+        all.put("envoy-like", (s, random) -> new EnvoyLike(s.ownZone, zones, random));
         return all;
     }
 
-    static ZoneSettings settings(Dispatch.Settings s, int zones) {
+    static ZoneSettings settings(DispatchPolicy.Settings s, int zones) {
         ZoneSettings z = new ZoneSettings();
         for (int i = 0; i < zones; i++) {
-            z.zones.add("z" + i);
-        }
-        z.own = s.zone;
-        z.dispatchers = s.dispatchers;
-        z.index = s.index;
-        z.worths = s.classes.stream().mapToDouble(Dispatch.JobClass::worth).toArray();
-        z.coldFor = s.coldFor;
-        z.spillShare = Double.parseDouble(System.getProperty("spillShare", String.valueOf(z.spillShare)));
-        z.spillLeaves = Double.parseDouble(System.getProperty("spillLeaves", String.valueOf(z.spillLeaves)));
-        z.spillReserve = Double.parseDouble(System.getProperty("spillReserve", String.valueOf(z.spillReserve)));
+            z.zoneNames.add("z" + i);
+        }
+        z.ownZone = s.ownZone;
+        z.dispatcherCount = s.dispatcherCount;
+        z.dispatcherIndex = s.dispatcherIndex;
+        z.classWorths = s.classes.stream().mapToDouble(DispatchPolicy.RequestClass::worth).toArray();
+        z.warmUpMicros = s.warmUpMicros;
+        z.maxSpillShare = Double.parseDouble(System.getProperty("spillShare", String.valueOf(z.maxSpillShare)));
+        z.spillHeadroomShare = Double.parseDouble(System.getProperty("spillLeaves", String.valueOf(z.spillHeadroomShare)));
+        z.spillReserveShare = Double.parseDouble(System.getProperty("spillReserve", String.valueOf(z.spillReserveShare)));
         return z;
     }
 
     /** No limits at all; what others build on. */
-    private abstract static class Plain implements Dispatch.Zones {
+    private abstract static class Plain implements DispatchPolicy.ZoneLimits {
         final int own;
         final int zones;
         final Map<Long, Integer> ready = new HashMap<>();
@@ -53,9 +53,9 @@
             readyByZone = new int[zones];
         }
 
-        @Override public void listed(long now, Dispatch.ListUpdate update, List<Dispatch.Worker> workers) {
-            for (Dispatch.Worker worker : workers) {
-                boolean is = worker.state() == Dispatch.WorkerState.READY;
+        @Override public void backendsListed(long now, DispatchPolicy.ListUpdate update, List<DispatchPolicy.Backend> workers) {
+            for (DispatchPolicy.Backend worker : workers) {
+                boolean is = worker.state() == DispatchPolicy.BackendState.READY;
                 boolean was = ready.containsKey(worker.id());
                 if (is && !was) {
                     ready.put(worker.id(), worker.zone());
@@ -67,30 +67,30 @@
             }
         }
 
-        @Override public long startedAt(Dispatch.Worker worker) {
-            return worker.startedAt();
+        @Override public long believedStartMicros(DispatchPolicy.Backend worker) {
+            return worker.startedAtMicros();
         }
 
-        @Override public boolean givesUp(long now, Dispatch.Job job) {
+        @Override public boolean refusesUnplaced(long now, DispatchPolicy.Request job) {
             return false;
         }
 
-        @Override public void sent(long now, Dispatch.Job job, int attempt, Dispatch.Worker worker, double work) { }
+        @Override public void attemptSent(long now, DispatchPolicy.Request job, int attempt, DispatchPolicy.Backend worker, double work) { }
 
-        @Override public void ended(long now, Dispatch.Job job, int attempt, Dispatch.Worker worker,
-                Dispatch.Outcome outcome, double ran) { }
+        @Override public void attemptEnded(long now, DispatchPolicy.Request job, int attempt, DispatchPolicy.Backend worker,
+                DispatchPolicy.Outcome outcome, double ran) { }
 
-        @Override public void alive(long now, long worker) { }
+        @Override public void backendResponded(long now, long worker) { }
 
-        @Override public void late(long now, long worker) { }
+        @Override public void startOverdue(long now, long worker) { }
 
-        @Override public void probed(long now, long worker, boolean answered, double slots) { }
+        @Override public void probeEnded(long now, long worker, boolean answered, double slots) { }
 
-        @Override public List<Long> round(long now) {
+        @Override public List<Long> runPeriodicCheck(long now) {
             return List.of();
         }
 
-        @Override public String news() {
+        @Override public String pollLogLine() {
             return null;
         }
     }
@@ -101,20 +101,20 @@
             super(own, zones);
         }
 
-        @Override public int tiers() {
+        @Override public int tierCount() {
             return 2;
         }
 
-        @Override public int tier(int jobClass, int zone) {
+        @Override public int tierOf(int jobClass, int zone) {
             return zone == own ? 0 : 1;
         }
 
-        @Override public boolean opens(long now, Dispatch.Job job, boolean repeatable, int tier) {
+        @Override public boolean isTierOpen(long now, DispatchPolicy.Request job, boolean repeatable, int tier) {
             return (tier == 0) == (readyByZone[own] > 0);
         }
 
-        @Override public boolean admits(long now, Dispatch.Job job, boolean repeatable, int attempts,
-                Dispatch.Worker worker, double load, int tier) {
+        @Override public boolean admits(long now, DispatchPolicy.Request job, boolean repeatable, int attempts,
+                DispatchPolicy.Backend worker, double load, int tier) {
             return true;
         }
     }
@@ -144,21 +144,21 @@
             return usual[zone] == 0 ? 0 : (readyByZone[zone] - out) / (double) usual[zone];
         }
 
-        @Override public int tiers() {
+        @Override public int tierCount() {
             return 2;
         }
 
-        @Override public int tier(int jobClass, int zone) {
+        @Override public int tierOf(int jobClass, int zone) {
             return zone == own ? 0 : 1;
         }
 
-        @Override public boolean opens(long now, Dispatch.Job job, boolean repeatable, int tier) {
+        @Override public boolean isTierOpen(long now, DispatchPolicy.Request job, boolean repeatable, int tier) {
             boolean stays = home.computeIfAbsent(job.id(), id -> random.nextDouble() < 1.4 * health(own));
             return stays == (tier == 0);
         }
 
-        @Override public boolean admits(long now, Dispatch.Job job, boolean repeatable, int attempts,
-                Dispatch.Worker worker, double load, int tier) {
+        @Override public boolean admits(long now, DispatchPolicy.Request job, boolean repeatable, int attempts,
+                DispatchPolicy.Backend worker, double load, int tier) {
             double healthy = 0;
             for (int z = 0; z < zones; z++) {
                 healthy += health(z) / zones;
@@ -166,13 +166,13 @@
             return healthy < 0.5 || !ejected.containsKey(worker.id());
         }
 
-        @Override public void ended(long now, Dispatch.Job job, int attempt, Dispatch.Worker worker,
-                Dispatch.Outcome outcome, double ran) {
-            if (outcome == Dispatch.Outcome.CANCELLED || outcome == Dispatch.Outcome.MOOT) {
+        @Override public void attemptEnded(long now, DispatchPolicy.Request job, int attempt, DispatchPolicy.Backend worker,
+                DispatchPolicy.Outcome outcome, double ran) {
+            if (outcome == DispatchPolicy.Outcome.CANCELLED || outcome == DispatchPolicy.Outcome.MOOT) {
                 return;
             }
             int[] state = failures.computeIfAbsent(worker.id(), id -> new int[2]);
-            state[0] = outcome == Dispatch.Outcome.SERVED || outcome == Dispatch.Outcome.REJECTED ? 0 : state[0] + 1;
+            state[0] = outcome == DispatchPolicy.Outcome.SERVED || outcome == DispatchPolicy.Outcome.REJECTED ? 0 : state[0] + 1;
             if (state[0] >= 5 && !ejected.containsKey(worker.id())
                     && ejected.size() < Math.max(1, ready.size() / 10)) {
                 state[1]++;
@@ -181,7 +181,7 @@
             }
         }
 
-        @Override public List<Long> round(long now) {
+        @Override public List<Long> runPeriodicCheck(long now) {
             ejected.values().removeIf(until -> until <= now);
             if (home.size() > 100_000) {
                 home.clear();
--- a/src/lab/java/badgermux/scale/DiscoveryServer.java
+++ b/src/lab/java/badgermux/scale/DiscoveryServer.java
@@ -1,7 +1,7 @@
 package badgermux.scale;
 
-import badgermux.http.Bytes;
-import badgermux.http.Head;
+import badgermux.http.MessageEncoder;
+import badgermux.http.MessageHead;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -148,7 +148,7 @@
             return;
         }
         byte[] body = list(watch.since, layout.portForDispatcher(dispatcher)).getBytes(StandardCharsets.UTF_8);
-        ByteBuf message = Bytes.response(200, "OK", "Content-Type: application/json\r\n", body, true);
+        ByteBuf message = MessageEncoder.response(200, "OK", "Content-Type: application/json\r\n", body, true);
         traffic.out(Traffic.Purpose.LISTS, message.readableBytes());
         ledger.told(dispatcher, changed.size(), System.nanoTime());
         watch.connection.write(message);
@@ -179,14 +179,14 @@
             connections.get(dispatcher).add(this);
         }
 
-        @Override void request(Head head, long bytes) {
+        @Override void request(MessageHead head, long bytes) {
             if (silentFor[dispatcher]) {
                 return;
             }
             traffic.in(Traffic.Purpose.LISTS, bytes);
             long since = 0;
             long waitMs = 0;
-            Matcher matcher = WATCH.matcher(head.first());
+            Matcher matcher = WATCH.matcher(head.startLine());
             while (matcher.find()) {
                 since = matcher.group(1) != null ? Long.parseLong(matcher.group(1)) : since;
                 waitMs = matcher.group(2) != null ? Long.parseLong(matcher.group(2)) : waitMs;
--- a/src/lab/java/badgermux/scale/HollowDispatcher.java
+++ b/src/lab/java/badgermux/scale/HollowDispatcher.java
@@ -1,15 +1,15 @@
 package badgermux.scale;
 
-import badgermux.backend.Backends;
+import badgermux.backend.HttpBackendClient;
 import badgermux.config.Config;
-import badgermux.core.Asker;
+import badgermux.core.ResponseListener;
 import badgermux.core.Clock;
 import badgermux.core.Deadlines;
 import badgermux.core.Engine;
-import badgermux.decide.Dispatch;
-import badgermux.decide.Dispatcher;
-import badgermux.discovery.Discovery;
-import badgermux.http.Relay;
+import badgermux.decide.DispatchPolicy;
+import badgermux.decide.DefaultDispatchPolicy;
+import badgermux.discovery.DiscoveryClient;
+import badgermux.http.ForwardedRequest;
 import badgermux.metrics.Metrics;
 import io.netty.channel.EventLoop;
 import java.nio.charset.StandardCharsets;
@@ -41,9 +41,9 @@
     private final EventLoop loop;
     private final Clock clock = new Clock();
     private final Metrics metrics = new Metrics(List.of(Layout.CLASS));
-    private final Deadlines deadlines = new Deadlines(clock::now, this::alarm, metrics);
-    private final Engine<Relay> engine;
-    private final Discovery discovery;
+    private final Deadlines deadlines = new Deadlines(clock::nowMicros, this::alarm, metrics);
+    private final Engine<ForwardedRequest> engine;
+    private final DiscoveryClient discovery;
     private final RequestIds ids;
     private final Answers answers;
     private final long giveUpMicros;
@@ -53,15 +53,15 @@
         this.loop = loop;
         this.ids = ids;
         this.answers = answers;
-        Dispatch.Settings settings = config.settings();
-        giveUpMicros = settings.classes.get(0).deadline();
-        engine = new Engine<>(clock::now, deadlines, metrics, settings.maxAttempts);
-        Backends backends = new Backends(loop, deadlines, clock::now, metrics, engine, config.connectTimeout(),
-            settings.connectionIdle, connections, settings.reports == Dispatch.ReportMode.ON_PROBE);
-        discovery = new Discovery(loop, deadlines, clock, metrics, engine, backends, config.discovery(), config.known(),
-            config.zones(), config.kinds(), null, null, settings.listPushed);
-        Dispatch module = new Dispatcher(settings, config.seed(), engine);
-        engine.join(timed.around(module), backends, discovery::watch);
+        DispatchPolicy.Settings settings = config.settings();
+        giveUpMicros = settings.classes.get(0).clientTimeoutMicros();
+        engine = new Engine<>(clock::nowMicros, deadlines, metrics, settings.maxAttempts);
+        HttpBackendClient backends = new HttpBackendClient(loop, deadlines, clock::nowMicros, metrics, engine, config.connectTimeoutMicros(),
+            settings.idleTimeoutMicros, connections, settings.reportMode == DispatchPolicy.ReportMode.ON_PROBE);
+        discovery = new DiscoveryClient(loop, deadlines, clock, metrics, engine, backends, config.discoveryAddress(), config.cachedList(),
+            config.zoneNames(), config.kindNames(), null, null, settings.listPushed);
+        DispatchPolicy module = new DefaultDispatchPolicy(settings, config.seed(), engine);
+        engine.connect(timed.around(module), backends, discovery::watch);
     }
 
     void start() {
@@ -76,30 +76,30 @@
     void ask(int tenant) {
         String id = ids.next();
         answers.asked++;
-        Relay relay = new Relay(id, "POST /" + Layout.CLASS + " HTTP/1.1", "X-Request-ID: " + id + "\r\n", BODY, null);
-        engine.take(new OneAnswer(), relay, 0, tenant, 1, clock.now() + giveUpMicros, true);
+        ForwardedRequest relay = new ForwardedRequest(id, "POST /" + Layout.CLASS + " HTTP/1.1", "X-Request-ID: " + id + "\r\n", BODY, null);
+        engine.submit(new OneAnswer(), relay, 0, tenant, 1, clock.nowMicros() + giveUpMicros, true);
     }
 
     private void alarm(long at) {
         if (alarm != null) {
             alarm.cancel(false);
         }
-        alarm = loop.schedule(deadlines::runDue, Math.max(0, at - clock.now()), TimeUnit.MICROSECONDS);
+        alarm = loop.schedule(deadlines::runDue, Math.max(0, at - clock.nowMicros()), TimeUnit.MICROSECONDS);
     }
 
     /** Counts the answer of one request. */
-    private final class OneAnswer implements Asker {
+    private final class OneAnswer implements ResponseListener {
         private boolean answered;
 
-        @Override public void served(byte[] result) {
+        @Override public void onServed(byte[] result) {
             answers.served += first();
         }
 
-        @Override public void synthetic(long comeBack) {
+        @Override public void onRefused(long comeBack) {
             answers.synthetic += first();
         }
 
-        @Override public void failed(boolean late) {
+        @Override public void onFailed(boolean late) {
             answers.failed += first();
         }
 
--- a/src/lab/java/badgermux/scale/HollowWorker.java
+++ b/src/lab/java/badgermux/scale/HollowWorker.java
@@ -1,8 +1,8 @@
 package badgermux.scale;
 
 import badgermux.core.Names;
-import badgermux.http.Bytes;
-import badgermux.http.Head;
+import badgermux.http.MessageEncoder;
+import badgermux.http.MessageHead;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -152,7 +152,7 @@
     private void probed(Connection connection) {
         String load = "TEXT x0=" + (Layout.SLOTS - running) + ", inflight=" + running + ", queue=" + waiting.size()
             + ", recent_ms=" + meanRunMs;
-        ByteBuf answer = Bytes.response(200, "OK", "", load.getBytes(StandardCharsets.US_ASCII), true);
+        ByteBuf answer = MessageEncoder.response(200, "OK", "", load.getBytes(StandardCharsets.US_ASCII), true);
         traffic.out(Traffic.Purpose.PROBES, answer.readableBytes());
         connection.write(answer);
     }
@@ -163,7 +163,7 @@
             cold = rules.coldWork(cold, number, coldSince, runMs(id));
         }
         if (phase == Phase.DRAINING || waiting.size() >= MOST_WAITING) {
-            send(connection, Bytes.response(503, "Service Unavailable", NOT_PROCESSED, new byte[0], true));
+            send(connection, MessageEncoder.response(503, "Service Unavailable", NOT_PROCESSED, new byte[0], true));
             return;
         }
         send(connection, Unpooled.copiedBuffer("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
@@ -229,7 +229,7 @@
             connections.get(port).add(this);
         }
 
-        @Override void request(Head head, long bytes) {
+        @Override void request(MessageHead head, long bytes) {
             String id = head.get("X-Request-ID");
             traffic.in(id == null ? Traffic.Purpose.PROBES : Traffic.Purpose.ATTEMPTS, bytes);
             if (id == null) {
--- a/src/lab/java/badgermux/scale/StandInConnection.java
+++ b/src/lab/java/badgermux/scale/StandInConnection.java
@@ -1,7 +1,7 @@
 package badgermux.scale;
 
-import badgermux.http.BadMessage;
-import badgermux.http.Head;
+import badgermux.http.InvalidMessageException;
+import badgermux.http.MessageHead;
 import badgermux.http.MessageReader;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -11,16 +11,16 @@
 import io.netty.channel.ChannelOption;
 
 /** A connection that a stand-in accepted: it tells of whole requests, and with how many bytes each came. */
-abstract class StandInConnection extends ChannelInboundHandlerAdapter implements MessageReader.Sink {
+abstract class StandInConnection extends ChannelInboundHandlerAdapter implements MessageReader.Listener {
     private static final int NO_LINGER = 0;
 
-    private final MessageReader reader = new MessageReader(false, MessageReader.MAX_BODY, this);
+    private final MessageReader reader = new MessageReader(false, MessageReader.MAX_BODY_BYTES, this);
     private Channel channel;
-    private Head head;
+    private MessageHead head;
     private long bytes;
 
     /** A request is whole; called on the connection's event loop. */
-    abstract void request(Head head, long bytes);
+    abstract void request(MessageHead head, long bytes);
 
     /** The connection has ended. */
     abstract void gone();
@@ -57,18 +57,18 @@
                     request(head, size);
                 }
             }
-        } catch (BadMessage e) {
+        } catch (InvalidMessageException e) {
             reset();
         } finally {
             in.release();
         }
     }
 
-    @Override public final void head(Head next) {
+    @Override public final void onHead(MessageHead next) {
         head = next;
     }
 
-    @Override public final void body(byte[] part) { }
+    @Override public final void onBody(byte[] part) { }
 
     @Override public final void channelInactive(ChannelHandlerContext ctx) {
         gone();
--- a/src/lab/java/badgermux/scale/TimedModule.java
+++ b/src/lab/java/badgermux/scale/TimedModule.java
@@ -1,6 +1,6 @@
 package badgermux.scale;
 
-import badgermux.decide.Dispatch;
+import badgermux.decide.DispatchPolicy;
 import java.lang.reflect.InvocationTargetException;
 import java.lang.reflect.Proxy;
 import org.HdrHistogram.Histogram;
@@ -15,8 +15,8 @@
     final Histogram others = new Histogram(LONGEST_US, 3);
 
     /** The same module, timed. */
-    Dispatch around(Dispatch module) {
-        return (Dispatch) Proxy.newProxyInstance(Dispatch.class.getClassLoader(), new Class<?>[] {Dispatch.class},
+    DispatchPolicy around(DispatchPolicy module) {
+        return (DispatchPolicy) Proxy.newProxyInstance(DispatchPolicy.class.getClassLoader(), new Class<?>[] {DispatchPolicy.class},
             (proxy, method, arguments) -> {
                 long from = System.nanoTime();
                 try {
--- a/src/main/java/badgermux/AdminService.java
+++ b/src/main/java/badgermux/AdminService.java
@@ -4,8 +4,8 @@
 import badgermux.cli.Commands.ServeOptions;
 import badgermux.config.ConfigException;
 import badgermux.core.Deadlines;
-import badgermux.front.Gate;
-import badgermux.decide.Dispatch;
+import badgermux.front.RequestValidator;
+import badgermux.decide.DispatchPolicy;
 import badgermux.gate.ContractResource;
 import badgermux.gate.ZoneResource;
 import badgermux.http.Address;
@@ -29,31 +29,31 @@
 
 /** Joins what operators set: the snapshot, the admin API and the subsystems behind it. A plain start has none of it. */
 final class AdminService {
-    private static final int SHORTEST_TOKEN = 16;
+    private static final int MIN_TOKEN_CHARS = 16;
 
-    private final InetSocketAddress at;
+    private final InetSocketAddress listenAddress;
     private final String token;
     private final EventLoopGroup loop;
-    private final ContractResource contracts;
+    private final ContractResource contractResource;
     private final ZoneResource zones;
     private AdminServer server;
 
     /** Reads the options and the snapshot; what can't be used ends the start. */
     AdminService(ServeOptions options, EventLoopGroup loop, LongSupplier clock) throws ConfigException {
         this.loop = loop;
-        at = options.admin() == null ? null : Address.parse(options.admin());
-        if (options.admin() != null && at == null) {
+        listenAddress = options.admin() == null ? null : Address.parse(options.admin());
+        if (options.admin() != null && listenAddress == null) {
             throw new ConfigException("--admin is no host:port: " + options.admin());
         }
         token = token(options.adminTokenFile());
-        if (at != null && token == null && !at.getAddress().isLoopbackAddress()) {
+        if (listenAddress != null && token == null && !listenAddress.getAddress().isLoopbackAddress()) {
             throw new ConfigException("--admin-token-file is needed where --admin is no loopback address");
         }
         try {
             SnapshotStore store = SnapshotStore.open(options.snapshot() == null ? null : Path.of(options.snapshot()),
                 Set.of(ContractResource.SECTION, ZoneResource.SECTION));
             zones = new ZoneResource(store, loop, clock);
-            contracts = deep(() -> new ContractResource(store, loop));
+            contractResource = runWithDeepStack(() -> new ContractResource(store, loop));
         } catch (SnapshotException e) {
             throw new ConfigException("--snapshot: " + e.getMessage());
         } catch (InvalidPathException e) {
@@ -62,7 +62,7 @@
     }
 
     /** Compiling goes as deep as descriptions nest: on a stack of its own. */
-    private static ContractResource deep(java.util.concurrent.Callable<ContractResource> work)
+    private static ContractResource runWithDeepStack(java.util.concurrent.Callable<ContractResource> work)
             throws SnapshotException {
         FutureTask<ContractResource> task = new FutureTask<>(work);
         new Thread(null, task, "snapshot", 64 << 20).start();
@@ -84,8 +84,8 @@
         }
         try {
             String token = Files.readString(Path.of(file)).strip();
-            if (token.length() < SHORTEST_TOKEN) {
-                throw new ConfigException("--admin-token-file: the token has fewer than " + SHORTEST_TOKEN
+            if (token.length() < MIN_TOKEN_CHARS) {
+                throw new ConfigException("--admin-token-file: the token has fewer than " + MIN_TOKEN_CHARS
                     + " characters");
             }
             return token;
@@ -95,32 +95,32 @@
     }
 
     /** What limits the module by zones; null where nothing is set. */
-    ZonePolicy zones(List<String> names, Dispatch.Settings settings) throws ConfigException {
+    ZonePolicy zones(List<String> names, DispatchPolicy.Settings settings) throws ConfigException {
         try {
-            return zones.policy(names, settings);
+            return zones.zonePolicy(names, settings);
         } catch (SnapshotException e) {
             throw new ConfigException("--snapshot: " + e.getMessage());
         }
     }
 
-    Gate gate(Metrics metrics) {
-        return contracts.gate(loop, metrics);
+    RequestValidator gate(Metrics metrics) {
+        return contractResource.contractValidator(loop, metrics);
     }
 
     /** Begins to listen, if it is to; on the event loop. */
     void listen(Deadlines deadlines, Metrics metrics) {
-        if (at == null) {
+        if (listenAddress == null) {
             return;
         }
         server = new AdminServer(loop, deadlines, metrics, token);
-        server.add(ContractResource.SECTION, contracts);
+        server.add(ContractResource.SECTION, contractResource);
         server.add(ZoneResource.SECTION, zones);
-        ChannelFuture bound = server.listen(at);
+        ChannelFuture bound = server.listen(listenAddress);
         bound.addListener(done -> {
             if (done.isSuccess()) {
                 Logger.info("the admin API listens on {}", bound.channel().localAddress());
             } else {
-                Logger.error("the admin API can't listen on {}: {}", at, done.cause().getMessage());
+                Logger.error("the admin API can't listen on {}: {}", listenAddress, done.cause().getMessage());
             }
         });
     }
--- a/src/main/java/badgermux/Server.java
+++ b/src/main/java/badgermux/DispatcherProcess.java
@@ -1,19 +1,19 @@
 package badgermux;
 
-import badgermux.backend.Backends;
+import badgermux.backend.HttpBackendClient;
 import badgermux.cli.Commands.ServeOptions;
 import badgermux.config.Config;
 import badgermux.config.ConfigException;
 import badgermux.core.Clock;
 import badgermux.core.Deadlines;
 import badgermux.core.Engine;
-import badgermux.decide.Dispatch;
-import badgermux.decide.Dispatcher;
-import badgermux.discovery.Discovery;
-import badgermux.discovery.ListDecoder;
-import badgermux.front.Front;
-import badgermux.http.Relay;
-import badgermux.log.AsideWriter;
+import badgermux.decide.DispatchPolicy;
+import badgermux.decide.DefaultDispatchPolicy;
+import badgermux.discovery.DiscoveryClient;
+import badgermux.discovery.BackendListCodec;
+import badgermux.front.Frontend;
+import badgermux.http.ForwardedRequest;
+import badgermux.log.AsynchronousWriter;
 import badgermux.metrics.Metrics;
 import badgermux.metrics.Metrics.Count;
 import badgermux.zone.ZonePolicy;
@@ -33,16 +33,16 @@
 import org.tinylog.Logger;
 
 /** Joins the parts of one real dispatcher on its event loop; rereads its configuration on SIGHUP, ends on SIGTERM. */
-final class Server {
+final class DispatcherProcess {
     /** The part of all memory that bodies may hold until their requests are answered: 12 MB of 192. */
-    private static final int HELD_PART = 16;
+    private static final int BODY_MEMORY_DIVISOR = 16;
     /** How long the end waits for its counters, and then its log, to be written, in milliseconds. */
-    private static final long PRINTING = 200;
+    private static final long OUTPUT_TIMEOUT_MILLIS = 200;
 
     private final MultiThreadIoEventLoopGroup loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final Clock clock = new Clock();
-    private final CountDownLatch started = new CountDownLatch(1);
-    private final CountDownLatch quiet = new CountDownLatch(1);
+    private final CountDownLatch startupComplete = new CountDownLatch(1);
+    private final CountDownLatch shutdownComplete = new CountDownLatch(1);
     private final Map<String, String> environment;
     private final ServeOptions options;
     private Metrics metrics;
@@ -52,62 +52,62 @@
     private LearnedStateStore learnedState;
     private Future<?> alarm;
     /** The counters, as the end has them. */
-    private volatile String printed = "";
-    private Front front;
-    private Discovery discovery;
+    private volatile String finalMetrics = "";
+    private Frontend front;
+    private DiscoveryClient discovery;
     /** Whether SIGTERM has come, on the event loop. */
-    private boolean ended;
+    private boolean shuttingDown;
 
-    private Server(Map<String, String> environment, ServeOptions options) {
+    private DispatcherProcess(Map<String, String> environment, ServeOptions options) {
         this.environment = environment;
         this.options = options;
     }
 
     /** Serves until SIGTERM has been dealt with. */
     static void run(Map<String, String> environment) throws ConfigException, InterruptedException {
-        new Server(environment, null).serve();
+        new DispatcherProcess(environment, null).serve();
     }
 
     /** The same, with what the command line adds. */
     static void run(Map<String, String> environment, ServeOptions options)
             throws ConfigException, InterruptedException {
-        new Server(environment, options).serve();
+        new DispatcherProcess(environment, options).serve();
     }
 
     private void serve() throws ConfigException, InterruptedException {
         // First of all: SIGHUP ends a process that says nothing of it.
         SighupHandler.handle(this::reload);
         Config config = Config.read(environment);
-        ServerSocketChannel held = config.inherits() ? inherited() : null;
-        metrics = new Metrics(config.settings().classes.stream().map(Dispatch.JobClass::name).toList());
-        deadlines = new Deadlines(clock::now, this::alarm, metrics);
-        console = config.admin() == null ? null
-            : new OperatorConsole(config.name(), config.settings().coldFor, environment.get("TMPDIR"), loop, clock,
-                config.fingerprint());
-        adminService = options == null ? null : new AdminService(options, loop, clock::now);
-        ZonePolicy zones = adminService == null ? null : adminService.zones(config.zones(), config.settings());
+        ServerSocketChannel held = config.inheritsSocket() ? inheritedSocket() : null;
+        metrics = new Metrics(config.settings().classes.stream().map(DispatchPolicy.RequestClass::name).toList());
+        deadlines = new Deadlines(clock::nowMicros, this::alarm, metrics);
+        console = config.adminAddress() == null ? null
+            : new OperatorConsole(config.name(), config.settings().warmUpMicros, environment.get("TMPDIR"), loop, clock,
+                config.settingsFingerprint());
+        adminService = options == null ? null : new AdminService(options, loop, clock::nowMicros);
+        ZonePolicy zones = adminService == null ? null : adminService.zones(config.zoneNames(), config.settings());
         // An upgrade's process is told by the one that still serves.
-        learnedState = new LearnedStateStore(config.inherits() ? null : environment.get("TMPDIR"), config);
+        learnedState = new LearnedStateStore(config.inheritsSocket() ? null : environment.get("TMPDIR"), config);
         CompletableFuture<ChannelFuture> front = new CompletableFuture<>();
         // Before clients are let in: what they hand in is answered, however soon SIGTERM comes.
-        Runtime.getRuntime().addShutdownHook(new Thread(this::end, "end"));
-        loop.execute(() -> begin(config, zones, held, front));
+        Runtime.getRuntime().addShutdownHook(new Thread(this::shutDown, "end"));
+        loop.execute(() -> takeOverAndStart(config, zones, held, front));
         try {
             serve(config, front);
         } catch (ConfigException e) {
-            quiet.countDown();      // there is nothing to end
+            shutdownComplete.countDown();      // there is nothing to end
             throw e;
         }
-        started.countDown();
-        quiet.await();
+        startupComplete.countDown();
+        shutdownComplete.await();
     }
 
     private void serve(Config config, CompletableFuture<ChannelFuture> front) throws ConfigException, InterruptedException {
         try {
-            await("GW_LISTEN (listen)", front.get());
+            awaitBound("GW_LISTEN (listen)", front.get());
             if (console != null) {
-                ChannelFuture bound = loop.submit(() -> console.listen(config.admin())).get();
-                await("GW_ADMIN (admin)", bound);
+                ChannelFuture bound = loop.submit(() -> console.listen(config.adminAddress())).get();
+                awaitBound("GW_ADMIN (admin)", bound);
                 Logger.info("operators call on {}", bound.channel().localAddress());
             }
             Logger.info("{} listens on {}", config.name(), this.front.address());
@@ -117,7 +117,7 @@
     }
 
     /** The socket that is held for us. */
-    private static ServerSocketChannel inherited() throws ConfigException {
+    private static ServerSocketChannel inheritedSocket() throws ConfigException {
         try {
             if (System.inheritedChannel() instanceof ServerSocketChannel held) {
                 return held;
@@ -128,54 +128,54 @@
         throw new ConfigException("GW_SOCKET_FD: descriptor 0 is no socket that listens");
     }
 
-    private static void await(String what, ChannelFuture bound) throws ConfigException, InterruptedException {
+    private static void awaitBound(String what, ChannelFuture bound) throws ConfigException, InterruptedException {
         if (!bound.await().isSuccess()) {
             throw new ConfigException(what + " can't be bound: " + bound.cause().getMessage());
         }
     }
 
     /** Asks the process before this one first, where there may be one; then all is made and clients are let in. */
-    private void begin(Config config, ZonePolicy zones, ServerSocketChannel held, CompletableFuture<ChannelFuture> front) {
-        Consumer<ListDecoder.Listing> start = known -> {
+    private void takeOverAndStart(Config config, ZonePolicy zones, ServerSocketChannel held, CompletableFuture<ChannelFuture> front) {
+        Consumer<BackendListCodec.BackendList> start = known -> {
             try {
-                front.complete(start(config, zones, held, known));
+                front.complete(startComponents(config, zones, held, known));
             } catch (RuntimeException e) {
                 front.completeExceptionally(e);
             }
         };
         if (console == null || held == null) {
-            start.accept(config.known());
+            start.accept(config.cachedList());
         } else {
-            console.upgrade().follow(deadlines, listing ->
-                start.accept(listing == null ? config.known() : ListDecoder.Listing.newer(config.known(), listing)));
+            console.handover().takeOverFromPrevious(deadlines, listing ->
+                start.accept(listing == null ? config.cachedList() : BackendListCodec.BackendList.newer(config.cachedList(), listing)));
         }
     }
 
-    private ChannelFuture start(Config config, ZonePolicy zones, ServerSocketChannel held, ListDecoder.Listing known) {
-        if (ended) {
+    private ChannelFuture startComponents(Config config, ZonePolicy zones, ServerSocketChannel held, BackendListCodec.BackendList known) {
+        if (shuttingDown) {
             throw new IllegalStateException("ended before clients were let in");
         }
-        Dispatch.Settings settings = config.settings();
-        DescriptorBudget budget = DescriptorBudget.of(config.sockets(), console != null);
-        Engine<Relay> engine = new Engine<>(clock::now, deadlines, metrics, settings.maxAttempts);
-        Backends backends = new Backends(loop, deadlines, clock::now, metrics, engine, config.connectTimeout(),
-            settings.connectionIdle, budget.toBackends(), settings.reports == Dispatch.ReportMode.ON_PROBE);
-        discovery = new Discovery(loop, deadlines, clock, metrics, engine, backends, config.discovery(),
-            known, config.zones(), config.kinds(), zones == null ? null : zones::guard,
+        DispatchPolicy.Settings settings = config.settings();
+        DescriptorBudget budget = DescriptorBudget.of(config.maxDescriptors(), console != null);
+        Engine<ForwardedRequest> engine = new Engine<>(clock::nowMicros, deadlines, metrics, settings.maxAttempts);
+        HttpBackendClient backends = new HttpBackendClient(loop, deadlines, clock::nowMicros, metrics, engine, config.connectTimeoutMicros(),
+            settings.idleTimeoutMicros, budget.backendConnections(), settings.reportMode == DispatchPolicy.ReportMode.ON_PROBE);
+        discovery = new DiscoveryClient(loop, deadlines, clock, metrics, engine, backends, config.discoveryAddress(),
+            known, config.zoneNames(), config.kindNames(), zones == null ? null : zones::keepUnlistedBackends,
             console == null ? null : console.cordons(), settings.listPushed);
-        front = new Front(clock::now, deadlines, metrics, engine, settings, discovery::isListed, budget.clients(),
-            budget.overCap(), ((long) config.memoryMb() << 20) / HELD_PART,
+        front = new Frontend(clock::nowMicros, deadlines, metrics, engine, settings, discovery::hasList, budget.clientConnections(),
+            budget.excessClientConnections(), ((long) config.memoryMb() << 20) / BODY_MEMORY_DIVISOR,
             adminService == null ? null : adminService.gate(metrics));
-        engine.join(new Dispatcher(settings, config.seed(), engine, zones), backends, discovery::watch);
+        engine.connect(new DefaultDispatchPolicy(settings, config.seed(), engine, zones), backends, discovery::watch);
         discovery.start();
-        learnedState.join(engine, deadlines);
+        learnedState.attach(engine, deadlines);
         if (adminService != null) {
             adminService.listen(deadlines, metrics);
         }
-        ChannelFuture listening = held == null ? front.listen(loop, config.listen())
-            : front.listen(loop, held, console == null || !console.upgrade().follows());
+        ChannelFuture listening = held == null ? front.listen(loop, config.listenAddress())
+            : front.listen(loop, held, console == null || !console.handover().hasPrevious());
         if (console != null) {
-            console.join(discovery, front, backends, engine, deadlines, metrics, config.sockets());
+            console.attach(discovery, front, backends, engine, deadlines, metrics, config.maxDescriptors());
         }
         return listening;
     }
@@ -186,15 +186,15 @@
      */
     private synchronized void reload() {
         try {
-            started.await();
-            InetSocketAddress at = Config.reread(environment).discovery();
+            startupComplete.await();
+            InetSocketAddress at = Config.reload(environment).discoveryAddress();
             loop.execute(() -> {
-                metrics.add(Count.RELOADS);
+                metrics.increment(Count.RELOADS);
                 Logger.info("configuration reread: the director is at {}:{}", at.getHostString(), at.getPort());
-                discovery.moveTo(at);
+                discovery.switchTo(at);
             });
         } catch (ConfigException | RuntimeException e) {
-            loop.execute(() -> metrics.add(Count.RELOADS_REJECTED));
+            loop.execute(() -> metrics.increment(Count.RELOADS_REJECTED));
             Logger.warn("the new configuration is not used: {}", e.getMessage());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -205,54 +205,54 @@
         if (alarm != null) {
             alarm.cancel(false);
         }
-        alarm = loop.schedule(deadlines::runDue, Math.max(0, at - clock.now()), TimeUnit.MICROSECONDS);
+        alarm = loop.schedule(deadlines::runDue, Math.max(0, at - clock.nowMicros()), TimeUnit.MICROSECONDS);
     }
 
     /** The process goes on until this returns: once all that was taken is answered. */
-    private void end() {
-        long toldAt = clock.now();      // first of all: the kill counts from here
+    private void shutDown() {
+        long toldAt = clock.nowMicros();      // first of all: the kill counts from here
         try {
-            if (quiet.getCount() > 0) {
+            if (shutdownComplete.getCount() > 0) {
                 loop.execute(() -> drain(toldAt));
-                quiet.await();
+                shutdownComplete.await();
                 // Guards against an end that waits for those who read what it prints: the answers are out.
                 Thread printer = new Thread(() -> {
-                    System.out.print(printed);
+                    System.out.print(finalMetrics);
                     System.out.flush();
                 }, "printer");
                 printer.setDaemon(true);
                 printer.start();
-                printer.join(PRINTING);
+                printer.join(OUTPUT_TIMEOUT_MILLIS);
             }
-            AsideWriter.finish(PRINTING);
+            AsynchronousWriter.awaitWritten(OUTPUT_TIMEOUT_MILLIS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
     private void drain(long toldAt) {
-        if (ended) {
+        if (shuttingDown) {
             return;
         }
-        ended = true;
+        shuttingDown = true;
         if (console != null && front != null) {
-            console.upgrade().ending();
+            console.handover().ending();
         }
         if (front == null) {
-            quiet.countDown();      // nobody was let in yet, and nobody is from here on
+            shutdownComplete.countDown();      // nobody was let in yet, and nobody is from here on
         } else {
-            front.drain(toldAt, this::drained);
+            front.drain(toldAt, this::onDrained);
         }
     }
 
-    private void drained() {
+    private void onDrained() {
         if (adminService != null) {
             adminService.close();
         }
         if (console != null) {
             console.close();
         }
-        printed = metrics.text();
-        learnedState.end(deadlines, quiet::countDown);
+        finalMetrics = metrics.text();
+        learnedState.saveAtExit(deadlines, shutdownComplete::countDown);
     }
 }
--- a/src/main/java/badgermux/Upgrade.java
+++ b/src/main/java/badgermux/HandoverCoordinator.java
@@ -1,18 +1,18 @@
 package badgermux;
 
-import badgermux.backend.Backends;
+import badgermux.backend.HttpBackendClient;
 import badgermux.console.Console;
 import badgermux.core.Clock;
 import badgermux.core.Deadlines;
 import badgermux.core.Engine;
-import badgermux.discovery.Discovery;
-import badgermux.discovery.ListDecoder;
-import badgermux.front.Front;
+import badgermux.discovery.DiscoveryClient;
+import badgermux.discovery.BackendListCodec;
+import badgermux.front.Frontend;
 import badgermux.cordon.Cordons;
 import badgermux.http.Address;
 import badgermux.upgrade.HandoverState;
 import badgermux.upgrade.LearnedStateCodec;
-import badgermux.upgrade.Link;
+import badgermux.upgrade.HandoverLink;
 import badgermux.upgrade.HandoverReadiness;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.ChannelOption;
@@ -37,37 +37,37 @@
 import org.tinylog.Logger;
 
 /** Joins this process to those before and after it: what they are told, and what comes of what they tell. */
-final class Upgrade implements Link.End {
+final class HandoverCoordinator implements HandoverLink.Listener {
     /** How long a new process waits for the one before it to say what it holds. */
-    private static final long ANSWER_WITHIN = 1_000_000;
+    private static final long TAKEOVER_REPLY_TIMEOUT_MICROS = 1_000_000;
     /** What a start takes until the process before has answered. */
-    private static final long SHORTEST_START = 300_000, LONGEST_START = 2_000_000;
+    private static final long MIN_STARTUP_MICROS = 300_000, MAX_STARTUP_MICROS = 2_000_000;
     /** How what it holds begins. */
-    private static final String TOLD = "200 ";
+    private static final String STATE_REPLY_PREFIX = "200 ";
 
     private final EventLoopGroup loop;
     private final Clock clock;
     private final Cordons cordons;
-    private final String fingerprint;
-    private final Path address;
-    private final Executor writer;
+    private final String settingsFingerprint;
+    private final Path addressFile;
+    private final Executor fileWriter;
     private final HandoverReadiness readiness = new HandoverReadiness();
     private final String secret = secret();
     private Deadlines deadlines;
-    private Discovery discovery;
-    private Front front;
-    private Backends backends;
+    private DiscoveryClient discovery;
+    private Frontend frontend;
+    private HttpBackendClient backends;
     private Engine<?> engine;
     private Console console;
-    private int sockets;
+    private int maxDescriptors;
     private boolean ending;
     /** To the process before this one, and to the next one; null where there is none. */
-    private Link before;
-    private Link after;
-    private boolean afterServes;
-    private Deadlines.Deadline beating;
+    private HandoverLink previousLink;
+    private HandoverLink nextLink;
+    private boolean nextServes;
+    private Deadlines.Deadline heartbeat;
     /** Told the list that the process before this one holds, or null. */
-    private Consumer<ListDecoder.Listing> following;
+    private Consumer<BackendListCodec.BackendList> onPreviousList;
 
     /**
      * Knows of no other process yet.
@@ -76,13 +76,13 @@
      * @param writer  writes it
      * @param fingerprint of all settings: only what was learnt under the same is taken over
      */
-    Upgrade(EventLoopGroup loop, Clock clock, Cordons cordons, Path address, Executor writer, String fingerprint) {
-        this.fingerprint = fingerprint;
+    HandoverCoordinator(EventLoopGroup loop, Clock clock, Cordons cordons, Path address, Executor writer, String fingerprint) {
+        this.settingsFingerprint = fingerprint;
         this.loop = loop;
         this.clock = clock;
         this.cordons = cordons;
-        this.address = address;
-        this.writer = writer;
+        this.addressFile = address;
+        this.fileWriter = writer;
     }
 
     /** From the system's source: to load what Java has for it costs a start a tenth of its time. */
@@ -97,24 +97,24 @@
     }
 
     /** Called on the event loop before clients are let in. */
-    void join(Discovery list, Front clients, Backends runners, Engine<?> core, Console calls, int descriptors) {
+    void attach(DiscoveryClient list, Frontend clients, HttpBackendClient runners, Engine<?> core, Console calls, int descriptors) {
         discovery = list;
-        front = clients;
+        frontend = clients;
         backends = runners;
         engine = core;
         console = calls;
-        sockets = descriptors;
-        share();
-        if (before != null) {
-            beat();
+        maxDescriptors = descriptors;
+        applyDescriptorBudget();
+        if (previousLink != null) {
+            sendHeartbeat();
         }
     }
 
     /** The console listens now. */
-    void callable() {
+    void onConsoleListening() {
         // Guards against a next process that finds nobody to ask: this one may serve before it listens for calls.
-        if (before == null || readiness.isServing()) {
-            writeAddress();
+        if (previousLink == null || readiness.isServing()) {
+            writeAddressFile();
         }
     }
 
@@ -124,18 +124,18 @@
     }
 
     /** Why the process before may not be ended yet; null where it may. */
-    String notYet() {
-        return readiness.notYet(clock.now());
+    String blockedReason() {
+        return readiness.blockedReason(clock.nowMicros());
     }
 
     /** Tells the others of a call. */
-    void tell(String line) {
-        pass(null, line);
+    void broadcast(String line) {
+        forward(null, line);
     }
 
     /** Whether a process before this one still serves. */
-    boolean follows() {
-        return before != null;
+    boolean hasPrevious() {
+        return previousLink != null;
     }
 
     /**
@@ -144,22 +144,22 @@
      *
      * @param then told the list that it holds, or null where there is none
      */
-    void follow(Deadlines due, Consumer<ListDecoder.Listing> then) {
+    void takeOverFromPrevious(Deadlines due, Consumer<BackendListCodec.BackendList> then) {
         deadlines = due;
-        String[] parts = writtenAddress();
+        String[] parts = readAddressFile();
         InetSocketAddress at = parts == null ? null : Address.parse(parts[0]);
         if (at == null) {
             then.accept(null);
             return;
         }
-        following = then;
-        before = new Link(deadlines, this);
-        deadlines.after(ANSWER_WITHIN, () -> {
-            if (following != null && before != null) {
-                before.close();
+        onPreviousList = then;
+        previousLink = new HandoverLink(deadlines, this);
+        deadlines.scheduleAfter(TAKEOVER_REPLY_TIMEOUT_MICROS, () -> {
+            if (onPreviousList != null && previousLink != null) {
+                previousLink.close();
             }
         });
-        Link link = before;
+        HandoverLink link = previousLink;
         new Bootstrap().group(loop).channel(NioSocketChannel.class).option(ChannelOption.TCP_NODELAY, true).handler(link)
             .connect(at).addListener(done -> {
                 if (done.isSuccess()) {
@@ -171,27 +171,27 @@
     }
 
     /** Read before anything is served, so on the event loop: a file in memory of some bytes. */
-    private String[] writtenAddress() {
+    private String[] readAddressFile() {
         try {
-            String[] parts = address == null ? new String[0] : Files.readString(address).strip().split(" ");
+            String[] parts = addressFile == null ? new String[0] : Files.readString(addressFile).strip().split(" ");
             return parts.length == 2 ? parts : null;
         } catch (IOException e) {
             return null;    // nobody was here before, or nobody who can be asked
         }
     }
 
-    private void writeAddress() {
+    private void writeAddressFile() {
         SocketAddress at = console.address();
-        if (address != null && at instanceof InetSocketAddress bound) {
+        if (addressFile != null && at instanceof InetSocketAddress bound) {
             String text = bound.getAddress().getHostAddress() + ':' + bound.getPort() + ' ' + secret + '\n';
-            writer.execute(() -> {
+            fileWriter.execute(() -> {
                 try {
                     // Guards against others who read the secret: the file is its owner's before it holds anything.
-                    Path fresh = address.resolveSibling("console.new");
+                    Path fresh = addressFile.resolveSibling("console.new");
                     Files.writeString(fresh, "");
                     Files.setPosixFilePermissions(fresh, PosixFilePermissions.fromString("rw-------"));
                     Files.writeString(fresh, text);
-                    Files.move(fresh, address, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+                    Files.move(fresh, addressFile, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
                 } catch (IOException e) {
                     Logger.warn("the next process can't be told where to call: {}", e.toString());
                 }
@@ -200,179 +200,179 @@
     }
 
     /** What goes on with the connection of the next process; null where the secret is not ours, or we are ending. */
-    Link takeOver(String told) {
+    HandoverLink createHandoverLink(String told) {
         boolean right = MessageDigest.isEqual(told.getBytes(StandardCharsets.UTF_8), secret.getBytes(StandardCharsets.UTF_8));
-        return right && !ending ? new Link(deadlines, this) : null;
+        return right && !ending ? new HandoverLink(deadlines, this) : null;
     }
 
     /** The next process is at the other end of this. */
-    void takenOver(Link by) {
-        Link earlier = after;
-        after = by;
-        afterServes = false;
+    void startHandover(HandoverLink by) {
+        HandoverLink earlier = nextLink;
+        nextLink = by;
+        nextServes = false;
         if (earlier != null) {
             earlier.close();    // it never got so far, or hangs: the latest counts
         }
-        share();
+        applyDescriptorBudget();
         Map<String, Long> out = new HashMap<>();
-        cordons.out().forEach((id, at) -> out.put(id, clock.toUnixMillis(at)));
+        cordons.cordoned().forEach((id, at) -> out.put(id, clock.toUnixMillis(at)));
         Map<String, long[]> back = new HashMap<>();
-        cordons.back().forEach((id, absence) ->
-            back.put(id, new long[] {clock.toUnixMillis(absence.from()), clock.toUnixMillis(absence.to())}));
-        after.send(TOLD + new HandoverState(discovery.held(), out, back).encode());
+        cordons.absences().forEach((id, absence) ->
+            back.put(id, new long[] {clock.toUnixMillis(absence.cordonedAt()), clock.toUnixMillis(absence.returnedAt())}));
+        nextLink.send(STATE_REPLY_PREFIX + new HandoverState(discovery.encodeList(), out, back).encode());
         Logger.info("the next process is here");
-        beat();
+        sendHeartbeat();
     }
 
     /** Says that we are alive, and what there is to say. */
-    private void beat() {
-        deadlines.cancel(beating);
-        if (before == null && after == null) {
+    private void sendHeartbeat() {
+        deadlines.cancel(heartbeat);
+        if (previousLink == null && nextLink == null) {
             return;
         }
-        if (before != null && !readiness.isServing() && following == null && front.notReady() == null) {
-            readiness.serving();
-            front.takeBack();
-            before.send("SERVING");
-            writeAddress();
+        if (previousLink != null && !readiness.isServing() && onPreviousList == null && frontend.notReadyReason() == null) {
+            readiness.servingStarted();
+            frontend.cancelHandover();
+            previousLink.send("SERVING");
+            writeAddressFile();
             Logger.info("serving; the process before answers what it has taken");
         }
-        for (Link link : new Link[] {before, after}) {
+        for (HandoverLink link : new HandoverLink[] {previousLink, nextLink}) {
             if (link != null) {
-                link.send("OPEN " + engine.open());
+                link.send("OPEN " + engine.openRequestCount());
             }
         }
-        beating = deadlines.after(Link.BEAT, this::beat);
+        heartbeat = deadlines.scheduleAfter(HandoverLink.HEARTBEAT_MICROS, this::sendHeartbeat);
     }
 
-    @Override public void line(Link link, String line) {
-        if (link == before && following != null) {
-            followed(line);
+    @Override public void onLine(HandoverLink link, String line) {
+        if (link == previousLink && onPreviousList != null) {
+            handleTakeoverReply(line);
             return;
         }
         try {
-            said(link, line);
+            handleLine(link, line);
         } catch (RuntimeException e) {
             // Guards against another version's lines: they change nothing, and the upgrade goes on.
             Logger.warn("a line of the other process can't be read: {}", e.toString());
         }
     }
 
-    private void said(Link link, String line) {
+    private void handleLine(HandoverLink link, String line) {
         String[] parts = line.split(" ");
         switch (parts[0]) {
-            case "SERVING" -> handOver(link);
+            case "SERVING" -> handOverTo(link);
             case "LEFT" -> {
-                readiness.handedOver();
-                engine.inherit(LearnedStateCodec.decode(line.substring(parts[0].length()), fingerprint));
+                readiness.previousHandedOver();
+                engine.importLearnedState(LearnedStateCodec.decode(line.substring(parts[0].length()), settingsFingerprint));
             }
             case "OPEN" -> {
-                if (link == before) {
-                    readiness.open(Integer.parseInt(parts[1]));
+                if (link == previousLink) {
+                    readiness.previousReportsOpen(Integer.parseInt(parts[1]));
                 }
             }
             case "OUT" -> {
-                cordons.takeOut(parts[1], clock.now());
-                discovery.seenAnew(parts[1]);
-                pass(link, line);
+                cordons.cordon(parts[1], clock.nowMicros());
+                discovery.republish(parts[1]);
+                forward(link, line);
             }
             case "BACK" -> {
-                cordons.putBack(parts[1], clock.fromUnixMillis(Long.parseLong(parts[2])));
-                discovery.seenAnew(parts[1]);
-                pass(link, line);
+                cordons.uncordon(parts[1], clock.fromUnixMillis(Long.parseLong(parts[2])));
+                discovery.republish(parts[1]);
+                forward(link, line);
             }
             default -> Logger.warn("the other process says what this one does not know: {}", parts[0]);
         }
     }
 
     /** The process before this one has answered: what it holds counts, and not what was read at the start. */
-    private void followed(String line) {
-        ListDecoder.Listing listing = null;
+    private void handleTakeoverReply(String line) {
+        BackendListCodec.BackendList listing = null;
         try {
-            if (line.startsWith(TOLD)) {
-                HandoverState held = HandoverState.decode(line.substring(TOLD.length()));
-                listing = ListDecoder.decode(held.list());
+            if (line.startsWith(STATE_REPLY_PREFIX)) {
+                HandoverState held = HandoverState.decode(line.substring(STATE_REPLY_PREFIX.length()));
+                listing = BackendListCodec.decode(held.backendList());
                 Map<String, Long> out = new HashMap<>();
-                held.out().forEach((id, millis) -> out.put(id, clock.fromUnixMillis(millis)));
+                held.cordoned().forEach((id, millis) -> out.put(id, clock.fromUnixMillis(millis)));
                 Map<String, Cordons.Absence> back = new HashMap<>();
-                held.back().forEach((id, millis) -> back.put(id,
+                held.returned().forEach((id, millis) -> back.put(id,
                     new Cordons.Absence(clock.fromUnixMillis(millis[0]), clock.fromUnixMillis(millis[1]))));
-                cordons.become(out, back);
-                readiness.linked(startedAt());
+                cordons.replaceAll(out, back);
+                readiness.previousConnected(processStartMicros());
             }
         } catch (RuntimeException e) {
             listing = null;
             Logger.warn("what the process before tells can't be read: {}", e.toString());
         }
         if (listing == null) {
-            before.close();
+            previousLink.close();
             return;
         }
-        Consumer<ListDecoder.Listing> then = following;
-        following = null;
+        Consumer<BackendListCodec.BackendList> then = onPreviousList;
+        onPreviousList = null;
         then.accept(listing);
     }
 
     /** When this process was started: by the system's word, which is to the second, within what a start can have taken. */
-    private long startedAt() {
-        long now = clock.now();
+    private long processStartMicros() {
+        long now = clock.nowMicros();
         long told = ProcessHandle.current().info().startInstant().map(at -> clock.fromUnixMillis(at.toEpochMilli())).orElse(now);
-        return Math.max(now - LONGEST_START, Math.min(now - SHORTEST_START, told));
+        return Math.max(now - MAX_STARTUP_MICROS, Math.min(now - MIN_STARTUP_MICROS, told));
     }
 
-    private void handOver(Link to) {
-        if (to == after) {
-            afterServes = true;
+    private void handOverTo(HandoverLink to) {
+        if (to == nextLink) {
+            nextServes = true;
             // What is left to answer here needs no cold runner; their budget is the next process's.
-            cordons.restCold(clock.now());
-            discovery.allSeenAnew();
-            to.send("LEFT " + LearnedStateCodec.encode(engine.leave(), fingerprint));
-            front.handOver();
+            cordons.drainCold(clock.nowMicros());
+            discovery.republishAll();
+            to.send("LEFT " + LearnedStateCodec.encode(engine.exportLearnedState(), settingsFingerprint));
+            frontend.handOver();
             Logger.info("handed over: the next process serves");
         }
     }
 
-    @Override public void ended(Link link) {
-        if (link == before) {
-            before = null;
-            readiness.lost();
-            if (following != null) {
-                Consumer<ListDecoder.Listing> then = following;
-                following = null;
+    @Override public void onClosed(HandoverLink link) {
+        if (link == previousLink) {
+            previousLink = null;
+            readiness.previousDisconnected();
+            if (onPreviousList != null) {
+                Consumer<BackendListCodec.BackendList> then = onPreviousList;
+                onPreviousList = null;
                 then.accept(null);
                 return;
             }
             if (!readiness.isServing()) {
-                front.takeBack();
-                writeAddress();
+                frontend.cancelHandover();
+                writeAddressFile();
             }
-            share();
+            applyDescriptorBudget();
             Logger.info("the process before has ended");
-        } else if (link == after) {
-            after = null;
-            share();
-            if (afterServes && !ending) {
-                cordons.restCold(Long.MAX_VALUE);
-                discovery.allSeenAnew();
-                front.takeBack();
+        } else if (link == nextLink) {
+            nextLink = null;
+            applyDescriptorBudget();
+            if (nextServes && !ending) {
+                cordons.drainCold(Long.MAX_VALUE);
+                discovery.republishAll();
+                frontend.cancelHandover();
                 Logger.warn("the next process has ended, or hangs: this one serves again");
             }
             if (!ending) {
-                writeAddress();
+                writeAddressFile();
             }
         }
     }
 
     /** The two of an upgrade have half of the descriptors each: one dispatcher may hold no more than all. */
-    private void share() {
-        DescriptorBudget budget = DescriptorBudget.of(before == null && after == null ? sockets : sockets / 2, true);
-        front.limit(budget.clients(), budget.overCap());
-        backends.limit(budget.toBackends());
-        console.limit(budget.callers());
+    private void applyDescriptorBudget() {
+        DescriptorBudget budget = DescriptorBudget.of(previousLink == null && nextLink == null ? maxDescriptors : maxDescriptors / 2, true);
+        frontend.setConnectionLimits(budget.clientConnections(), budget.excessClientConnections());
+        backends.setMaxConnections(budget.backendConnections());
+        console.setMaxConnections(budget.consoleConnections());
     }
 
-    private void pass(Link from, String line) {
-        for (Link link : new Link[] {before, after}) {
+    private void forward(HandoverLink from, String line) {
+        for (HandoverLink link : new HandoverLink[] {previousLink, nextLink}) {
             if (link != null && link != from) {
                 link.send(line);
             }
--- a/src/main/java/badgermux/Main.java
+++ b/src/main/java/badgermux/Main.java
@@ -15,23 +15,23 @@
         switch (command) {
             case "drill" -> badgermux.sim.Main.main(new String[0]);
             case "serve" -> serve();
-            default -> others(args);
+            default -> runCommandLine(args);
         }
     }
 
     private static void serve() throws InterruptedException {
         try {
-            Server.run(System.getenv());
+            DispatcherProcess.run(System.getenv());
         } catch (ConfigException e) {
             System.err.println("badgermux: " + e.getMessage());
             System.exit(2);
         }
     }
 
-    private static void others(String[] args) {
-        System.exit(Commands.run(args, new Commands.Starter() {
+    private static void runCommandLine(String[] args) {
+        System.exit(Commands.run(args, new Commands.Launcher() {
             @Override public int serve(Commands.ServeOptions options) throws ConfigException, InterruptedException {
-                Server.run(System.getenv(), options);
+                DispatcherProcess.run(System.getenv(), options);
                 return 0;
             }
 
--- a/src/main/java/badgermux/OperatorConsole.java
+++ b/src/main/java/badgermux/OperatorConsole.java
@@ -1,17 +1,17 @@
 package badgermux;
 
-import badgermux.backend.Backends;
+import badgermux.backend.HttpBackendClient;
 import badgermux.console.Console;
 import badgermux.console.CommandHandler;
 import badgermux.core.Clock;
 import badgermux.core.Deadlines;
 import badgermux.core.Engine;
-import badgermux.discovery.Discovery;
-import badgermux.front.Front;
+import badgermux.discovery.DiscoveryClient;
+import badgermux.front.Frontend;
 import badgermux.cordon.Cordons;
 import badgermux.metrics.Metrics;
-import badgermux.operator.OutFolder;
-import badgermux.upgrade.Link;
+import badgermux.operator.CordonStore;
+import badgermux.upgrade.HandoverLink;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelHandler;
 import io.netty.channel.EventLoopGroup;
@@ -28,14 +28,14 @@
 /** Joins what operators call with what they call for: the console, the runners cordoned, and where those are kept. */
 final class OperatorConsole implements CommandHandler {
     /** Keeps a call. */
-    private interface Keeping {
-        void keep(OutFolder folder) throws IOException;
+    private interface CordonUpdate {
+        void applyTo(CordonStore folder) throws IOException;
     }
 
     private final EventLoopGroup loop;
     private final Clock clock;
     private final Cordons cordons;
-    private final OutFolder folder;
+    private final CordonStore cordonStore;
     /** Files are written here: the event loop waits for no disk. */
     private final ExecutorService writer = Executors.newSingleThreadExecutor(work -> {
         Thread thread = new Thread(work, "out-folder");
@@ -43,12 +43,12 @@
         return thread;
     });
     /** The number of the last call for each runner that a file is being written for. */
-    private final Map<String, Long> lastCall = new HashMap<>();
-    private final Upgrade upgrade;
-    private long calls;
+    private final Map<String, Long> lastUpdateByBackend = new HashMap<>();
+    private final HandoverCoordinator handover;
+    private long updateCount;
     private Metrics metrics;
-    private Discovery discovery;
-    private Front front;
+    private DiscoveryClient discovery;
+    private Frontend frontend;
     private Console console;
 
     /**
@@ -65,23 +65,23 @@
         cordons = new Cordons(coldFor);
         Path kept = folder == null || folder.isBlank() ? null
             : Path.of(folder, "badgermux-" + name.replaceAll("[^A-Za-z0-9_.-]", "_"));
-        this.folder = open(kept, coldFor);
-        upgrade = new Upgrade(loop, clock, cordons, this.folder == null ? null : kept.resolve("console"), writer,
+        this.cordonStore = openStore(kept, coldFor);
+        handover = new HandoverCoordinator(loop, clock, cordons, this.cordonStore == null ? null : kept.resolve("console"), writer,
             fingerprint);
     }
 
     /** Null where nothing can be kept, which the log says. */
-    private OutFolder open(Path kept, long coldFor) {
+    private CordonStore openStore(Path kept, long coldFor) {
         try {
             if (kept == null) {
                 throw new IOException("TMPDIR is not set");
             }
-            OutFolder opened = OutFolder.open(kept);
-            opened.out().forEach((id, millis) -> cordons.takeOut(id, clock.fromUnixMillis(millis)));
-            opened.back(System.currentTimeMillis() - coldFor / 1000).forEach((id, millis) -> cordons.cameBack(id,
+            CordonStore opened = CordonStore.open(kept);
+            opened.cordoned().forEach((id, millis) -> cordons.cordon(id, clock.fromUnixMillis(millis)));
+            opened.returned(System.currentTimeMillis() - coldFor / 1000).forEach((id, millis) -> cordons.recordAbsence(id,
                 new Cordons.Absence(clock.fromUnixMillis(millis[0]), clock.fromUnixMillis(millis[1]))));
-            if (!cordons.out().isEmpty()) {
-                Logger.info("out by hand: {}", cordons.out().keySet());
+            if (!cordons.cordoned().isEmpty()) {
+                Logger.info("out by hand: {}", cordons.cordoned().keySet());
             }
             return opened;
         } catch (IOException e) {
@@ -96,24 +96,24 @@
     }
 
     /** The processes before and after this one. */
-    Upgrade upgrade() {
-        return upgrade;
+    HandoverCoordinator handover() {
+        return handover;
     }
 
     /** Called on the event loop before clients are let in. */
-    void join(Discovery list, Front clients, Backends runners, Engine<?> engine, Deadlines deadlines, Metrics counts, int sockets) {
+    void attach(DiscoveryClient list, Frontend clients, HttpBackendClient runners, Engine<?> engine, Deadlines deadlines, Metrics counts, int sockets) {
         discovery = list;
-        front = clients;
+        frontend = clients;
         metrics = counts;
-        console = new Console(loop, deadlines, counts, this, DescriptorBudget.of(sockets, true).callers());
-        upgrade.join(list, clients, runners, engine, console, sockets);
+        console = new Console(loop, deadlines, counts, this, DescriptorBudget.of(sockets, true).consoleConnections());
+        handover.attach(list, clients, runners, engine, console, sockets);
     }
 
     ChannelFuture listen(InetSocketAddress at) {
         ChannelFuture bound = console.listen(at);
         bound.addListener(done -> {
             if (done.isSuccess()) {
-                upgrade.callable();
+                handover.onConsoleListening();
             }
         });
         return bound;
@@ -125,87 +125,87 @@
 
     // ---- What callers reach, on the event loop
 
-    @Override public String notReady() {
-        String why = front.notReady();
-        return why != null ? why : upgrade.notYet();
+    @Override public String notReadyReason() {
+        String why = frontend.notReadyReason();
+        return why != null ? why : handover.blockedReason();
     }
 
-    @Override public String figures() {
+    @Override public String metricsText() {
         return metrics.dump();
     }
 
-    @Override public void takeOut(String id, Consumer<String> told) {
-        if (!discovery.names(id) && !cordons.isOut(id)) {
+    @Override public void cordon(String id, Consumer<String> told) {
+        if (!discovery.names(id) && !cordons.isCordoned(id)) {
             told.accept("no runner has the id " + id);
             return;
         }
-        boolean was = cordons.isOut(id);
+        boolean was = cordons.isCordoned(id);
         // At once: what is not sent while the file is written is not missed.
-        cordons.takeOut(id, clock.now());
-        discovery.seenAnew(id);
+        cordons.cordon(id, clock.nowMicros());
+        discovery.republish(id);
         Logger.info("{} is out by hand", id);
-        keep(id, kept -> kept.takeOut(id), (why, last) -> {
+        save(id, kept -> kept.cordon(id), (why, last) -> {
             if (why != null && !was && last) {
-                cordons.putBack(id, clock.now());
-                discovery.seenAnew(id);
+                cordons.uncordon(id, clock.nowMicros());
+                discovery.republish(id);
             } else if (last) {
-                upgrade.tell("OUT " + id);
+                handover.broadcast("OUT " + id);
             }
             told.accept(why);
         });
     }
 
-    @Override public void putBack(String id, Consumer<String> told) {
-        if (!cordons.isOut(id)) {
+    @Override public void uncordon(String id, Consumer<String> told) {
+        if (!cordons.isCordoned(id)) {
             told.accept(discovery.names(id) ? null : "no runner has the id " + id);
             return;
         }
-        long since = clock.toUnixMillis(cordons.outSince(id));
-        keep(id, kept -> kept.putBack(id, since), (why, last) -> {
+        long since = clock.toUnixMillis(cordons.cordonedSince(id));
+        save(id, kept -> kept.uncordon(id, since), (why, last) -> {
             // Guards against a runner in use that a later call has taken out: the last call counts.
             if (why == null && last) {
-                long now = clock.now();
-                cordons.putBack(id, now);
-                discovery.seenAnew(id);
-                upgrade.tell("BACK " + id + ' ' + clock.toUnixMillis(now));
+                long now = clock.nowMicros();
+                cordons.uncordon(id, now);
+                discovery.republish(id);
+                handover.broadcast("BACK " + id + ' ' + clock.toUnixMillis(now));
                 Logger.info("{} is back by hand", id);
             }
             told.accept(why);
         });
     }
 
-    @Override public ChannelHandler takeOver(String secret) {
-        return upgrade.takeOver(secret);
+    @Override public ChannelHandler createHandoverLink(String secret) {
+        return handover.createHandoverLink(secret);
     }
 
-    @Override public void takenOver(ChannelHandler by) {
-        upgrade.takenOver((Link) by);
+    @Override public void startHandover(ChannelHandler by) {
+        handover.startHandover((HandoverLink) by);
     }
 
     /** Told on the event loop why it could not be kept, or null; and whether no later call was for the same runner. */
-    private interface Kept {
-        void kept(String why, boolean last);
+    private interface SaveListener {
+        void onSaved(String why, boolean last);
     }
 
-    private void keep(String id, Keeping keeping, Kept then) {
-        if (folder == null) {
-            then.kept(null, true);
+    private void save(String id, CordonUpdate keeping, SaveListener then) {
+        if (cordonStore == null) {
+            then.onSaved(null, true);
             return;
         }
-        long call = ++calls;
-        lastCall.put(id, call);
+        long call = ++updateCount;
+        lastUpdateByBackend.put(id, call);
         writer.execute(() -> {
             String why = null;
             try {
-                keeping.keep(folder);
+                keeping.applyTo(cordonStore);
             } catch (IOException | RuntimeException e) {
                 Logger.warn("a call for {} can't be kept: {}", id, e.toString());
                 why = "it can't be kept: " + e.getClass().getSimpleName();
             }
             String told = why;
             loop.execute(() -> {
-                boolean last = lastCall.remove(id, call);
-                then.kept(told, last);
+                boolean last = lastUpdateByBackend.remove(id, call);
+                then.onSaved(told, last);
             });
         });
     }
--- a/src/main/java/badgermux/admin/Call.java
+++ b/src/main/java/badgermux/admin/AdminRequest.java
@@ -12,4 +12,4 @@
  * @param ifMatch the value of If-Match; null for none
  * @param body    the body; empty for none
  */
-public record Call(String method, List<String> path, Map<String, String> query, String ifMatch, byte[] body) { }
+public record AdminRequest(String method, List<String> path, Map<String, String> query, String ifMatch, byte[] body) { }
--- a/src/main/java/badgermux/admin/Reply.java
+++ b/src/main/java/badgermux/admin/AdminResponse.java
@@ -15,28 +15,28 @@
  * @param headers whole lines, each with its end
  * @param body    the body; empty for none
  */
-public record Reply(int status, String headers, byte[] body) {
+public record AdminResponse(int status, String headers, byte[] body) {
     private static final Gson GSON = new GsonBuilder().setPrettyPrinting().disableHtmlEscaping().serializeNulls()
         .create();
 
     /** A JSON answer. */
-    public static Reply json(int status, JsonElement content) {
+    public static AdminResponse json(int status, JsonElement content) {
         return json(status, "", content);
     }
 
     /** A JSON answer with further header lines. */
-    public static Reply json(int status, String headers, JsonElement content) {
-        return new Reply(status, "Content-Type: application/json\r\n" + headers,
+    public static AdminResponse json(int status, String headers, JsonElement content) {
+        return new AdminResponse(status, "Content-Type: application/json\r\n" + headers,
             (GSON.toJson(content) + '\n').getBytes(StandardCharsets.UTF_8));
     }
 
     /** A refusal (RFC 9457). */
-    public static Reply problem(int status, String detail) {
+    public static AdminResponse problem(int status, String detail) {
         return problem(status, detail, List.of());
     }
 
     /** A refusal with its reasons one by one. */
-    public static Reply problem(int status, String detail, List<? extends JsonElement> reasons) {
+    public static AdminResponse problem(int status, String detail, List<? extends JsonElement> reasons) {
         JsonObject problem = new JsonObject();
         problem.addProperty("status", status);
         problem.addProperty("detail", detail);
@@ -45,7 +45,7 @@
             reasons.forEach(all::add);
             problem.add("problems", all);
         }
-        return new Reply(status, "Content-Type: application/problem+json\r\n"
+        return new AdminResponse(status, "Content-Type: application/problem+json\r\n"
             + (status == 401 ? "WWW-Authenticate: Bearer\r\n" : ""),
             (GSON.toJson(problem) + '\n').getBytes(StandardCharsets.UTF_8));
     }
--- a/src/main/java/badgermux/admin/AdminServer.java
+++ b/src/main/java/badgermux/admin/AdminServer.java
@@ -1,8 +1,8 @@
 package badgermux.admin;
 
 import badgermux.core.Deadlines;
-import badgermux.http.Bytes;
-import badgermux.http.Head;
+import badgermux.http.MessageEncoder;
+import badgermux.http.MessageHead;
 import badgermux.metrics.Metrics;
 import badgermux.metrics.Metrics.Count;
 import io.netty.bootstrap.ServerBootstrap;
@@ -38,33 +38,33 @@
  */
 public final class AdminServer {
     /** The longest body of a call, in bytes: a set of descriptions, wrapped in JSON. */
-    static final int MAX_BODY = 40 << 20;
+    static final int MAX_BODY_BYTES = 40 << 20;
     /** A call must have come whole within this time, in microseconds. */
-    static final long WHOLE_WITHIN = 30_000_000;
-    private static final int MAX_CONNECTIONS = 8, MAX_WAITING = 8;
+    static final long REQUEST_TIMEOUT_MICROS = 30_000_000;
+    private static final int MAX_CONNECTIONS = 8, MAX_QUEUED_REQUESTS = 8;
 
     private final Deadlines deadlines;
     private final Metrics metrics;
     private final EventLoopGroup loop;
-    private final byte[] token;
+    private final byte[] tokenDigest;
     private final Map<String, Resource> resources = new TreeMap<>();
-    private final ThreadPoolExecutor worker;
+    private final ThreadPoolExecutor executor;
     private Channel listener;
-    private int connections;
+    private int openConnections;
 
     /** {@code token} is null where none is asked for. */
     public AdminServer(EventLoopGroup loop, Deadlines deadlines, Metrics metrics, String token) {
         this.loop = loop;
         this.deadlines = deadlines;
         this.metrics = metrics;
-        this.token = token == null ? null : digest(token);
-        worker = new ThreadPoolExecutor(1, 1, 10, TimeUnit.SECONDS, new ArrayBlockingQueue<>(MAX_WAITING), work -> {
+        this.tokenDigest = token == null ? null : digest(token);
+        executor = new ThreadPoolExecutor(1, 1, 10, TimeUnit.SECONDS, new ArrayBlockingQueue<>(MAX_QUEUED_REQUESTS), work -> {
             // Descriptions nest deep, and what compiles them goes down with them.
             Thread thread = new Thread(null, work, "admin", 64 << 20);
             thread.setDaemon(true);
             return thread;
         });
-        worker.allowCoreThreadTimeOut(true);
+        executor.allowCoreThreadTimeOut(true);
     }
 
     /** Adds what answers under {@code /v1/NAME}; before it listens. */
@@ -79,11 +79,11 @@
             .childOption(ChannelOption.TCP_NODELAY, true)
             .childHandler(new ChannelInitializer<SocketChannel>() {
                 @Override protected void initChannel(SocketChannel channel) {
-                    if (connections >= MAX_CONNECTIONS) {
+                    if (openConnections >= MAX_CONNECTIONS) {
                         channel.close();
                     } else {
-                        connections++;
-                        channel.closeFuture().addListener(closed -> connections--);
+                        openConnections++;
+                        channel.closeFuture().addListener(closed -> openConnections--);
                         channel.pipeline().addLast(new AdminConnection(AdminServer.this, channel));
                     }
                 }
@@ -104,27 +104,27 @@
     }
 
     /** What a head says against its call before any of its body is read; null for nothing. */
-    Reply refuses(Head head) {
-        metrics.add(Count.ADMIN_CALLS);
-        Reply reply = null;
+    AdminResponse checkHead(MessageHead head) {
+        metrics.increment(Count.ADMIN_CALLS);
+        AdminResponse reply = null;
         if (head.get("Host") == null) {
-            reply = Reply.problem(400, "Host is missing");
+            reply = AdminResponse.problem(400, "Host is missing");
         } else if (head.get("Origin") != null) {
             // Guards against a page in an operator's browser that calls in their name.
-            reply = Reply.problem(403, "calls from web pages are not taken");
-        } else if (token != null && !isToken(head.get("Authorization"))) {
-            reply = Reply.problem(401, "a bearer token is needed");
+            reply = AdminResponse.problem(403, "calls from web pages are not taken");
+        } else if (tokenDigest != null && !isAuthorized(head.get("Authorization"))) {
+            reply = AdminResponse.problem(401, "a bearer token is needed");
         }
         if (reply != null) {
-            metrics.add(Count.ADMIN_CALLS_REFUSED);
+            metrics.increment(Count.ADMIN_CALLS_REFUSED);
         }
         return reply;
     }
 
     /** Compared as digests in constant time: how long it takes tells nothing of the token. */
-    private boolean isToken(String authorization) {
+    private boolean isAuthorized(String authorization) {
         return authorization != null && authorization.regionMatches(true, 0, "Bearer ", 0, 7)
-            && MessageDigest.isEqual(token, digest(authorization.substring(7).strip()));
+            && MessageDigest.isEqual(tokenDigest, digest(authorization.substring(7).strip()));
     }
 
     private static byte[] digest(String text) {
@@ -136,7 +136,7 @@
     }
 
     /** Has a call carried out, its body in pieces; {@code then} is told on the event loop. */
-    void handle(String method, String target, String ifMatch, List<byte[]> body, Consumer<Reply> then) {
+    void handle(String method, String target, String ifMatch, List<byte[]> body, Consumer<AdminResponse> then) {
         int question = target.indexOf('?');
         List<String> path = new ArrayList<>();
         Map<String, String> query = new HashMap<>();
@@ -150,23 +150,23 @@
                     parts.length < 2 ? "" : URLDecoder.decode(parts[1], StandardCharsets.UTF_8));
             }
         } catch (IllegalArgumentException e) {
-            then.accept(Reply.problem(400, "the target is malformed"));
+            then.accept(AdminResponse.problem(400, "the target is malformed"));
             return;
         }
         Resource resource = path.size() < 2 || !path.get(0).equals("v1") ? null : resources.get(path.get(1));
         if (resource == null) {
-            then.accept(Reply.problem(404, "there are /v1/" + String.join(", /v1/", resources.keySet())));
+            then.accept(AdminResponse.problem(404, "there are /v1/" + String.join(", /v1/", resources.keySet())));
             return;
         }
         try {
-            worker.execute(() -> {
+            executor.execute(() -> {
                 // Joined here: a body of megabytes takes longer to copy than the event loop may stand still.
-                Reply reply = carryOut(resource, new Call(method, List.copyOf(path.subList(2, path.size())), query,
+                AdminResponse reply = execute(resource, new AdminRequest(method, List.copyOf(path.subList(2, path.size())), query,
                     ifMatch, join(body)));
                 loop.execute(() -> then.accept(reply));
             });
         } catch (RejectedExecutionException e) {
-            then.accept(Reply.problem(503, "too many calls wait"));
+            then.accept(AdminResponse.problem(503, "too many calls wait"));
         }
     }
 
@@ -176,19 +176,19 @@
         return whole.toByteArray();
     }
 
-    private static Reply carryOut(Resource resource, Call call) {
+    private static AdminResponse execute(Resource resource, AdminRequest call) {
         try {
             return resource.handle(call);
         } catch (Exception | StackOverflowError e) {
             Logger.error(e, "exception in an admin call");
-            return Reply.problem(500, "the call failed; the log says why");
+            return AdminResponse.problem(500, "the call failed; the log says why");
         } catch (OutOfMemoryError e) {
-            return Reply.problem(507, "there is not enough memory for it");
+            return AdminResponse.problem(507, "there is not enough memory for it");
         }
     }
 
-    static io.netty.buffer.ByteBuf encode(Reply reply, boolean keepAlive) {
-        return Bytes.response(reply.status(), reply.status() < 300 ? "OK" : "Refused", reply.headers(), reply.body(),
+    static io.netty.buffer.ByteBuf encode(AdminResponse reply, boolean keepAlive) {
+        return MessageEncoder.response(reply.status(), reply.status() < 300 ? "OK" : "Refused", reply.headers(), reply.body(),
             keepAlive);
     }
 }
--- a/src/main/java/badgermux/admin/Resource.java
+++ b/src/main/java/badgermux/admin/Resource.java
@@ -3,5 +3,5 @@
 /** A subsystem's part of the admin API, under {@code /v1/NAME}. */
 public interface Resource {
     /** Carries a call out; on the admin thread, which may block. */
-    Reply handle(Call call) throws Exception;
+    AdminResponse handle(AdminRequest call) throws Exception;
 }
--- a/src/main/java/badgermux/backend/ProbeExchange.java
+++ b/src/main/java/badgermux/backend/ProbeExchange.java
@@ -1,49 +1,49 @@
 package badgermux.backend;
 
-import badgermux.decide.Dispatch;
-import badgermux.http.BadMessage;
-import badgermux.http.Bytes;
-import badgermux.http.ClientConnection;
-import badgermux.http.Head;
+import badgermux.decide.DispatchPolicy;
+import badgermux.http.InvalidMessageException;
+import badgermux.http.MessageEncoder;
+import badgermux.http.OutboundConnection;
+import badgermux.http.MessageHead;
 import io.netty.buffer.ByteBuf;
 import java.io.ByteArrayOutputStream;
 
 /** A probe: one question, one answer. */
-final class ProbeExchange implements ClientConnection.Exchange {
+final class ProbeExchange implements OutboundConnection.Exchange {
     /** Told once what came of it, after the connection is done with it. */
-    interface Answer {
-        void probed(boolean answered, Dispatch.Report report);
+    interface Listener {
+        void onProbeEnded(boolean answered, DispatchPolicy.LoadReport report);
     }
 
     private final String target;
-    private final String host;
-    private final Answer answer;
+    private final String hostHeader;
+    private final Listener listener;
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private int status;
 
-    ProbeExchange(String target, String host, Answer answer) {
+    ProbeExchange(String target, String host, Listener answer) {
         this.target = target;
-        this.host = host;
-        this.answer = answer;
+        this.hostHeader = host;
+        this.listener = answer;
     }
 
-    @Override public ByteBuf request() {
-        return Bytes.get(target, host);
+    @Override public ByteBuf createRequest() {
+        return MessageEncoder.getRequest(target, hostHeader);
     }
 
-    @Override public void head(Head head) throws BadMessage {
+    @Override public void onHead(MessageHead head) throws InvalidMessageException {
         status = head.status();
     }
 
-    @Override public void body(byte[] bytes) {
+    @Override public void onBody(byte[] bytes) {
         body.writeBytes(bytes);
     }
 
-    @Override public void ended() {
-        answer.probed(status == 200, Loads.parse(body.toByteArray()));
+    @Override public void onResponseEnded() {
+        listener.onProbeEnded(status == 200, LoadReportParser.parse(body.toByteArray()));
     }
 
-    @Override public void broken(boolean written) {
-        answer.probed(false, null);
+    @Override public void onConnectionFailed(boolean written) {
+        listener.onProbeEnded(false, null);
     }
 }
--- a/src/main/java/badgermux/cli/Commands.java
+++ b/src/main/java/badgermux/cli/Commands.java
@@ -11,7 +11,7 @@
 import picocli.CommandLine.Spec;
 
 /** The whole command line. */
-@Command(name = "badgermux", mixinStandardHelpOptions = true, versionProvider = Commands.Version.class,
+@Command(name = "badgermux", mixinStandardHelpOptions = true, versionProvider = Commands.VersionProvider.class,
     description = "A broker between the services of many teams.",
     subcommands = {Commands.Serve.class, Commands.Drill.class, ContractCommand.class, Commands.Completion.class})
 public final class Commands implements Callable<Integer> {
@@ -19,22 +19,22 @@
     public record ServeOptions(String admin, String adminTokenFile, String snapshot) { }
 
     /** Starts the program; the exit status, or -1 where it goes on in threads of its own. */
-    public interface Starter {
+    public interface Launcher {
         int serve(ServeOptions options) throws Exception;
 
         int drill() throws Exception;
     }
 
-    private final Starter starter;
+    private final Launcher launcher;
 
     @Spec private CommandSpec spec;
 
-    private Commands(Starter starter) {
-        this.starter = starter;
+    private Commands(Launcher starter) {
+        this.launcher = starter;
     }
 
     /** Runs a command line and returns its exit status; 2 for one that makes no sense. */
-    public static int run(String[] arguments, Starter starter) {
+    public static int run(String[] arguments, Launcher starter) {
         return new CommandLine(new Commands(starter)).setExecutionExceptionHandler((e, line, result) -> {
             String why = e.getMessage() == null ? e.toString() : e.getMessage();
             line.getErr().println(e instanceof DescriptionException ? why : "badgermux: " + why);
@@ -47,14 +47,14 @@
     }
 
     /** Its version, as the build has set it in the jar. */
-    static final class Version implements CommandLine.IVersionProvider {
+    static final class VersionProvider implements CommandLine.IVersionProvider {
         @Override public String[] getVersion() {
             String version = Commands.class.getPackage().getImplementationVersion();
             return new String[] {"badgermux " + (version == null ? "(not from a jar)" : version)};
         }
     }
 
-    @Command(name = "serve", mixinStandardHelpOptions = true, versionProvider = Version.class,
+    @Command(name = "serve", mixinStandardHelpOptions = true, versionProvider = VersionProvider.class,
         description = "Serves as one dispatcher; GW_CONFIG names its configuration.")
     static final class Serve implements Callable<Integer> {
         @CommandLine.ParentCommand private Commands parent;
@@ -72,21 +72,21 @@
         private String snapshot;
 
         @Override public Integer call() throws Exception {
-            return parent.starter.serve(new ServeOptions(admin, adminTokenFile, snapshot));
+            return parent.launcher.serve(new ServeOptions(admin, adminTokenFile, snapshot));
         }
     }
 
-    @Command(name = "drill", mixinStandardHelpOptions = true, versionProvider = Version.class,
+    @Command(name = "drill", mixinStandardHelpOptions = true, versionProvider = VersionProvider.class,
         description = "The decisions on the simulator's wire, on standard input and output.")
     static final class Drill implements Callable<Integer> {
         @CommandLine.ParentCommand private Commands parent;
 
         @Override public Integer call() throws Exception {
-            return parent.starter.drill();
+            return parent.launcher.drill();
         }
     }
 
-    @Command(name = "completion", mixinStandardHelpOptions = true, versionProvider = Version.class,
+    @Command(name = "completion", mixinStandardHelpOptions = true, versionProvider = VersionProvider.class,
         description = "Prints a completion script for bash and zsh.")
     static final class Completion implements Callable<Integer> {
         @Spec private CommandSpec spec;
--- a/src/main/java/badgermux/cli/ContractCommand.java
+++ b/src/main/java/badgermux/cli/ContractCommand.java
@@ -1,13 +1,13 @@
 package badgermux.cli;
 
-import badgermux.contract.Contracts;
-import badgermux.contract.Description;
+import badgermux.contract.ContractSet;
+import badgermux.contract.ApiDescription;
 import badgermux.contract.DescriptionException;
-import badgermux.contract.Diff;
+import badgermux.contract.DescriptionDiff;
 import badgermux.contract.Document;
-import badgermux.contract.ProblemJson;
-import badgermux.contract.Request;
-import badgermux.contract.Verdict;
+import badgermux.contract.ProblemDetails;
+import badgermux.contract.HttpRequest;
+import badgermux.contract.ValidationResult;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParseException;
@@ -33,7 +33,7 @@
 import picocli.CommandLine.Spec;
 
 /** {@code contract}: descriptions checked, compared, and requests judged by them, without a dispatcher. */
-@Command(name = "contract", mixinStandardHelpOptions = true, versionProvider = Commands.Version.class,
+@Command(name = "contract", mixinStandardHelpOptions = true, versionProvider = Commands.VersionProvider.class,
     description = "Checks OpenAPI and AsyncAPI descriptions, and judges requests by them.",
     subcommands = {ContractCommand.Check.class, ContractCommand.DiffCommand.class, ContractCommand.Judge.class})
 final class ContractCommand implements Callable<Integer> {
@@ -43,7 +43,7 @@
         throw new ParameterException(spec.commandLine(), "a command is missing");
     }
 
-    private static Document read(Path file) throws IOException, DescriptionException {
+    private static Document readDocument(Path file) throws IOException, DescriptionException {
         try {
             return Document.read(file.toString(), Files.readAllBytes(file));
         } catch (IOException e) {
@@ -52,19 +52,19 @@
     }
 
     /** A file, and the further documents that it may refer to; the file's name without ending is the description's. */
-    private static Description compile(Path file, List<Path> with) throws IOException, DescriptionException {
+    private static ApiDescription compile(Path file, List<Path> with) throws IOException, DescriptionException {
         List<Document> others = new ArrayList<>();
         for (Path other : with) {
-            others.add(read(other));
+            others.add(readDocument(other));
         }
-        return Description.compile(name(file), read(file), others);
+        return ApiDescription.compile(descriptionName(file), readDocument(file), others);
     }
 
-    private static String name(Path file) {
+    private static String descriptionName(Path file) {
         return file.getFileName().toString().replaceFirst("\\.(json|ya?ml)$", "");
     }
 
-    @Command(name = "check", mixinStandardHelpOptions = true, versionProvider = Commands.Version.class,
+    @Command(name = "check", mixinStandardHelpOptions = true, versionProvider = Commands.VersionProvider.class,
         description = "Reads descriptions, which may refer to each other, and prints what is wrong with them. "
             + "Exit status 0: all can be used; 1: not; 2: a file can't be read.")
     static final class Check implements Callable<Integer> {
@@ -80,24 +80,24 @@
             int status = 0;
             for (Path file : files) {
                 try {
-                    documents.put(file, read(file));
+                    documents.put(file, readDocument(file));
                 } catch (DescriptionException e) {
                     e.problems().forEach(out::println);
                     status = 1;
                 }
             }
-            List<Description> descriptions = new ArrayList<>();
+            List<ApiDescription> descriptions = new ArrayList<>();
             for (Map.Entry<Path, Document> entry : documents.entrySet()) {
-                if (status == 1 && documents.size() < files.size() || files.size() > 1 && !entry.getValue().isRoot()) {
+                if (status == 1 && documents.size() < files.size() || files.size() > 1 && !entry.getValue().isDescription()) {
                     continue;
                 }
                 try {
-                    Description description = Description.compile(name(entry.getKey()), entry.getValue(),
+                    ApiDescription description = ApiDescription.compile(descriptionName(entry.getKey()), entry.getValue(),
                         List.copyOf(documents.values()));
                     descriptions.add(description);
                     if (!quiet) {
                         description.warnings().forEach(warning -> out.println("warning: " + warning));
-                        out.println(entry.getKey() + ": " + description.kind() + ", " + description.size()
+                        out.println(entry.getKey() + ": " + description.specification() + ", " + description.size()
                             + " routes and channels");
                     }
                 } catch (DescriptionException e) {
@@ -106,7 +106,7 @@
                 }
             }
             try {
-                Contracts.of(0, descriptions, false);
+                ContractSet.of(0, descriptions, false);
             } catch (DescriptionException e) {
                 e.problems().forEach(out::println);
                 status = 1;
@@ -116,36 +116,36 @@
         }
     }
 
-    @Command(name = "diff", mixinStandardHelpOptions = true, versionProvider = Commands.Version.class,
+    @Command(name = "diff", mixinStandardHelpOptions = true, versionProvider = Commands.VersionProvider.class,
         description = "Prints what NEW would refuse and OLD did not. Exit status 0: nothing; 1: something.")
     static final class DiffCommand implements Callable<Integer> {
         @Spec private CommandSpec spec;
-        @Parameters(index = "0", paramLabel = "OLD") private Path old;
-        @Parameters(index = "1", paramLabel = "NEW") private Path now;
+        @Parameters(index = "0", paramLabel = "OLD") private Path oldFile;
+        @Parameters(index = "1", paramLabel = "NEW") private Path newFile;
         @Option(names = "--with", paramLabel = "FILE", arity = "1..*",
             description = "Documents that both may refer to.")
-        private List<Path> with = List.of();
+        private List<Path> referencedFiles = List.of();
 
         @Override public Integer call() throws IOException, DescriptionException {
             PrintWriter out = spec.commandLine().getOut();
-            List<Diff.Change> changes = Diff.of(compile(old, with), compile(now, with));
+            List<DescriptionDiff.BreakingChange> changes = DescriptionDiff.breakingChanges(compile(oldFile, referencedFiles), compile(newFile, referencedFiles));
             changes.forEach(out::println);
             out.flush();
             return changes.isEmpty() ? 0 : 1;
         }
     }
 
-    @Command(name = "judge", mixinStandardHelpOptions = true, versionProvider = Commands.Version.class,
+    @Command(name = "judge", mixinStandardHelpOptions = true, versionProvider = Commands.VersionProvider.class,
         description = "Judges requests, one JSON object a line, and prints a verdict for each. "
             + "Exit status 0: all conform; 1: not all; 2: something can't be read.")
     static final class Judge implements Callable<Integer> {
         @Spec private CommandSpec spec;
-        @Parameters(index = "0", paramLabel = "DESCRIPTION") private Path description;
+        @Parameters(index = "0", paramLabel = "DESCRIPTION") private Path descriptionFile;
         @Parameters(index = "1", paramLabel = "REQUESTS.jsonl", description = "- for standard input.")
-        private Path requests;
+        private Path requestsFile;
         @Option(names = "--with", paramLabel = "FILE", arity = "1..*",
             description = "Further descriptions, and documents that they may refer to.")
-        private List<Path> with = List.of();
+        private List<Path> referencedFiles = List.of();
         @Option(names = "--undescribed", paramLabel = "refuse|pass", defaultValue = "refuse",
             description = "What becomes of paths that are not described; default: ${DEFAULT-VALUE}.")
         private Undescribed undescribed;
@@ -161,25 +161,25 @@
         enum Format { lines, problem }
 
         @Override public Integer call() throws IOException, DescriptionException {
-            List<Description> all = new ArrayList<>(List.of(compile(description, with)));
-            for (Path other : with) {
-                if (read(other).isRoot()) {
-                    all.add(compile(other, with));
+            List<ApiDescription> all = new ArrayList<>(List.of(compile(descriptionFile, referencedFiles)));
+            for (Path other : referencedFiles) {
+                if (readDocument(other).isDescription()) {
+                    all.add(compile(other, referencedFiles));
                 }
             }
-            Contracts contracts = Contracts.of(0, all, undescribed == Undescribed.pass);
+            ContractSet contracts = ContractSet.of(0, all, undescribed == Undescribed.pass);
             PrintWriter out = spec.commandLine().getOut();
             boolean conform = true;
-            try (BufferedReader lines = requests.toString().equals("-")
+            try (BufferedReader lines = requestsFile.toString().equals("-")
                     ? new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8))
-                    : Files.newBufferedReader(requests)) {
+                    : Files.newBufferedReader(requestsFile)) {
                 int number = 0;
                 for (String line = lines.readLine(); line != null; line = lines.readLine()) {
                     number++;
                     if (!line.isBlank()) {
-                        Verdict verdict = contracts.judge(request(line, number)).verdict();
+                        ValidationResult verdict = contracts.validate(parseRequest(line, number)).result();
                         conform &= verdict.conforms();
-                        out.println(line(verdict));
+                        out.println(formatVerdict(verdict));
                     }
                 }
             } finally {
@@ -188,36 +188,36 @@
             return conform ? 0 : 1;
         }
 
-        private String line(Verdict verdict) {
+        private String formatVerdict(ValidationResult verdict) {
             if (verdict.conforms()) {
                 return "{\"conforms\":true}";
             }
-            return format == Format.problem ? new String(ProblemJson.of(verdict, 0), StandardCharsets.UTF_8)
-                : "{\"conforms\":false,\"status\":" + verdict.status() + ",\"faults\":" + ProblemJson.faults(verdict)
+            return format == Format.problem ? new String(ProblemDetails.encode(verdict, 0), StandardCharsets.UTF_8)
+                : "{\"conforms\":false,\"status\":" + verdict.status() + ",\"faults\":" + ProblemDetails.faultArray(verdict)
                     + '}';
         }
 
-        private Request request(String line, int number) throws IOException {
+        private HttpRequest parseRequest(String line, int number) throws IOException {
             try {
                 JsonObject object = JsonParser.parseString(line).getAsJsonObject();
                 Map<String, List<String>> headers = new LinkedHashMap<>();
                 if (object.has("headers")) {
                     object.getAsJsonObject("headers").entrySet().forEach(header -> headers.put(
-                        header.getKey().toLowerCase(java.util.Locale.ROOT), values(header.getValue())));
+                        header.getKey().toLowerCase(java.util.Locale.ROOT), headerValues(header.getValue())));
                 }
                 byte[] body = object.has("bodyBase64")
                     ? Base64.getDecoder().decode(object.get("bodyBase64").getAsString())
                     : object.has("body") && !object.get("body").isJsonNull()
                         ? object.get("body").getAsString().getBytes(StandardCharsets.UTF_8) : new byte[0];
-                return new Request(object.get("method").getAsString(), object.get("target").getAsString(),
+                return new HttpRequest(object.get("method").getAsString(), object.get("target").getAsString(),
                     name -> headers.getOrDefault(name.toLowerCase(java.util.Locale.ROOT), List.of()), body);
             } catch (JsonParseException | IllegalStateException | IllegalArgumentException | NullPointerException
                     | ClassCastException | UnsupportedOperationException e) {
-                throw new IOException(requests + ":" + number + ": no request");
+                throw new IOException(requestsFile + ":" + number + ": no request");
             }
         }
 
-        private static List<String> values(JsonElement value) {
+        private static List<String> headerValues(JsonElement value) {
             return value.isJsonArray() ? value.getAsJsonArray().asList().stream().map(JsonElement::getAsString).toList()
                 : List.of(value.getAsString());
         }
--- a/src/main/java/badgermux/config/Config.java
+++ b/src/main/java/badgermux/config/Config.java
@@ -1,8 +1,8 @@
 package badgermux.config;
 
 import badgermux.core.Names;
-import badgermux.decide.Dispatch;
-import badgermux.discovery.ListDecoder;
+import badgermux.decide.DispatchPolicy;
+import badgermux.discovery.BackendListCodec;
 import badgermux.http.Address;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
@@ -23,25 +23,25 @@
  * All that a dispatcher is told at its start, checked and with defaults.
  *
  * @param name            its name
- * @param listen          where clients connect
- * @param discovery       where discovery answers
- * @param admin           where operators call; null where they can't
- * @param inherits        whether clients connect to a listening socket that is held for us, descriptor 0
+ * @param listenAddress          where clients connect
+ * @param discoveryAddress       where discovery answers
+ * @param adminAddress           where operators call; null where they can't
+ * @param inheritsSocket        whether clients connect to a listening socket that is held for us, descriptor 0
  * @param seed            for random numbers
- * @param sockets         how many descriptors the process may hold
+ * @param maxDescriptors         how many descriptors the process may hold
  * @param memoryMb        how much memory the process may take, in MB
- * @param known           the list as last held
+ * @param cachedList           the list as last held
  * @param settings        the module's settings
- * @param zones           the names of the zones, in the module's order
- * @param kinds           the names of the kinds of backends, in the module's order
- * @param connectTimeout  how long a connection may take to come up, in microseconds
- * @param fingerprint     of all settings: what was learnt under others is not ours
+ * @param zoneNames           the names of the zones, in the module's order
+ * @param kindNames           the names of the kinds of backends, in the module's order
+ * @param connectTimeoutMicros  how long a connection may take to come up, in microseconds
+ * @param settingsFingerprint     of all settings: what was learnt under others is not ours
  */
-public record Config(String name, InetSocketAddress listen, InetSocketAddress discovery, InetSocketAddress admin,
-        boolean inherits, long seed, int sockets, int memoryMb, ListDecoder.Listing known, Dispatch.Settings settings,
-        List<String> zones, List<String> kinds, long connectTimeout, String fingerprint) {
-    private static final int DEFAULT_SOCKETS = 1024, FEWEST_SOCKETS = 128;
-    private static final int DEFAULT_MEMORY_MB = 192, LEAST_MEMORY_MB = 32;
+public record Config(String name, InetSocketAddress listenAddress, InetSocketAddress discoveryAddress, InetSocketAddress adminAddress,
+        boolean inheritsSocket, long seed, int maxDescriptors, int memoryMb, BackendListCodec.BackendList cachedList, DispatchPolicy.Settings settings,
+        List<String> zoneNames, List<String> kindNames, long connectTimeoutMicros, String settingsFingerprint) {
+    private static final int DEFAULT_MAX_DESCRIPTORS = 1024, MIN_MAX_DESCRIPTORS = 128;
+    private static final int DEFAULT_MEMORY_MB = 192, MIN_MEMORY_MB = 32;
     private static final double DEFAULT_CONNECT_TIMEOUT_MS = 250;
 
     /** Reads the environment, and the file that it names; the environment goes first. */
@@ -50,7 +50,7 @@
     }
 
     /** Reads all again once the file has been replaced: where it names a discovery service, that one goes first. */
-    public static Config reread(Map<String, String> environment) throws ConfigException {
+    public static Config reload(Map<String, String> environment) throws ConfigException {
         return read(environment, true);
     }
 
@@ -86,16 +86,16 @@
             }
             Map<String, String> pairs = new TreeMap<>();
             flatten("", root.get("settings"), pairs);
-            Dispatch.Settings settings = settings(pairs);
-            once("settings.RequestClasses", settings.classes.stream().map(Dispatch.JobClass::name).toList());
+            DispatchPolicy.Settings settings = settings(pairs);
+            requireDistinct("settings.RequestClasses", settings.classes.stream().map(DispatchPolicy.RequestClass::name).toList());
             double connect = number(pairs.get("Ceilings.ConnectTimeoutMs"), "settings.Ceilings.ConnectTimeoutMs",
                 DEFAULT_CONNECT_TIMEOUT_MS);
             if (connect <= 0) {
                 throw new ConfigException("settings.Ceilings.ConnectTimeoutMs must be above 0");
             }
             return new Config(text("GW_NAME", "name", "dispatcher"), endpoint("GW_LISTEN", "listen"),
-                endpoint("GW_DISCOVERY", "discovery"), admin(), inherits(), seed(), sockets(), memoryMb(), known(), settings,
-                names(pairs, "FailureDomains"), names(pairs, "Kinds"), Math.round(connect * 1000),
+                endpoint("GW_DISCOVERY", "discovery"), adminAddress(), inheritsSocket(), seed(), maxDescriptors(), memoryMb(), cachedList(), settings,
+                distinctNames(pairs, "FailureDomains"), distinctNames(pairs, "Kinds"), Math.round(connect * 1000),
                 Names.fingerprint(pairs.toString()));
         }
 
@@ -113,33 +113,33 @@
                     }
                 }
                 if (items.isEmpty() || !items.get(0).isJsonObject()) {
-                    pairs.put(path, String.join(",", items.asList().stream().map(Reader::plain).toList()));
+                    pairs.put(path, String.join(",", items.asList().stream().map(Reader::plainText).toList()));
                 }
             } else if (!value.isJsonNull()) {
-                pairs.put(path, plain(value));
+                pairs.put(path, plainText(value));
             }
         }
 
-        private static String plain(JsonElement value) {
-            return value.isJsonPrimitive() ? Names.plain(value.getAsString()) : "";
+        private static String plainText(JsonElement value) {
+            return value.isJsonPrimitive() ? Names.normalize(value.getAsString()) : "";
         }
 
-        private static Dispatch.Settings settings(Map<String, String> pairs) throws ConfigException {
+        private static DispatchPolicy.Settings settings(Map<String, String> pairs) throws ConfigException {
             try {
-                return SettingsPairs.parse(pairs).settings().checked();
+                return SettingsParser.parse(pairs).settings().validated();
             } catch (IllegalArgumentException e) {
                 throw new ConfigException("settings: " + e.getMessage());
             }
         }
 
-        private static List<String> names(Map<String, String> pairs, String key) throws ConfigException {
-            return once("settings." + key, Arrays.asList(pairs.getOrDefault(key, "").split(",")));
+        private static List<String> distinctNames(Map<String, String> pairs, String key) throws ConfigException {
+            return requireDistinct("settings." + key, Arrays.asList(pairs.getOrDefault(key, "").split(",")));
         }
 
         /** Guards against names that can't be told apart, as blanks and commas are read as underscores. */
-        private static List<String> once(String key, List<String> names) throws ConfigException {
-            if (Names.twice(names) != null) {
-                throw new ConfigException(key + " has a name twice: " + Names.twice(names));
+        private static List<String> requireDistinct(String key, List<String> names) throws ConfigException {
+            if (Names.firstDuplicate(names) != null) {
+                throw new ConfigException(key + " has a name twice: " + Names.firstDuplicate(names));
             }
             return names;
         }
@@ -168,11 +168,11 @@
             return address;
         }
 
-        private InetSocketAddress admin() throws ConfigException {
+        private InetSocketAddress adminAddress() throws ConfigException {
             return text("GW_ADMIN", "admin", null) == null ? null : endpoint("GW_ADMIN", "admin");
         }
 
-        private boolean inherits() throws ConfigException {
+        private boolean inheritsSocket() throws ConfigException {
             String number = environment.getOrDefault("GW_SOCKET_FD", "");
             // Java can take over the descriptor of its standard input and no other.
             if (!number.isEmpty() && !number.equals("0")) {
@@ -190,28 +190,28 @@
             }
         }
 
-        private int sockets() throws ConfigException {
-            return limit("sockets", DEFAULT_SOCKETS, FEWEST_SOCKETS);
+        private int maxDescriptors() throws ConfigException {
+            return limit("sockets", DEFAULT_MAX_DESCRIPTORS, MIN_MAX_DESCRIPTORS);
         }
 
         private int memoryMb() throws ConfigException {
-            return limit("memory_mb", DEFAULT_MEMORY_MB, LEAST_MEMORY_MB);
+            return limit("memory_mb", DEFAULT_MEMORY_MB, MIN_MEMORY_MB);
         }
 
         /** A limit, which is never taken for more than its default. */
         private int limit(String key, int otherwise, int least) throws ConfigException {
             JsonElement limits = root.get("limits");
             JsonElement value = limits != null && limits.isJsonObject() ? limits.getAsJsonObject().get(key) : null;
-            double told = number(value == null ? null : plain(value), "limits." + key, otherwise);
+            double told = number(value == null ? null : plainText(value), "limits." + key, otherwise);
             if (told < least) {
                 throw new ConfigException("limits." + key + " must be " + least + " or more");
             }
             return (int) Math.min(told, otherwise);
         }
 
-        private ListDecoder.Listing known() throws ConfigException {
+        private BackendListCodec.BackendList cachedList() throws ConfigException {
             try {
-                return ListDecoder.decode(root.has("known") ? root.get("known").toString() : "{}");
+                return BackendListCodec.decode(root.has("known") ? root.get("known").toString() : "{}");
             } catch (JsonParseException e) {
                 throw new ConfigException("known is no list: " + e.getMessage().lines().findFirst().orElse(""));
             }
--- a/src/main/java/badgermux/config/SettingsPairs.java
+++ b/src/main/java/badgermux/config/SettingsParser.java
@@ -1,6 +1,6 @@
 package badgermux.config;
 
-import badgermux.decide.Dispatch;
+import badgermux.decide.DispatchPolicy;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Set;
@@ -10,14 +10,14 @@
  * The one mapping from settings to the module's: pairs of a path and a value, as the simulator's first message writes
  * them. Keys that it does not know are ignored; a message names the one at fault.
  */
-public final class SettingsPairs {
+public final class SettingsParser {
     private final Map<String, String> values;
 
     /** The settings, and the order in which load reports give their values. */
-    public record Parsed(Dispatch.Settings settings, String[] columns) { }
+    public record ParsedSettings(DispatchPolicy.Settings settings, String[] reportColumns) { }
 
     /** The settings from lines of {@code path=value}. */
-    public static Parsed parse(String text) {
+    public static ParsedSettings parse(String text) {
         Map<String, String> values = new HashMap<>();
         for (String line : text.split("\n")) {
             int equals = line.indexOf('=');
@@ -31,54 +31,54 @@
     }
 
     /** The settings from pairs that were split before. */
-    public static Parsed parse(Map<String, String> values) {
-        return new SettingsPairs(values).build();
+    public static ParsedSettings parse(Map<String, String> values) {
+        return new SettingsParser(values).build();
     }
 
-    private SettingsPairs(Map<String, String> values) {
+    private SettingsParser(Map<String, String> values) {
         this.values = values;
     }
 
-    private Parsed build() {
-        Dispatch.Settings s = new Dispatch.Settings();
-        s.dispatchers = count("Balancers", 1);
-        s.index = count("Me", 0);
-        s.zone = count("Zone", 0);
-        s.tick = micros("GranularityMs", 1);
-        s.kinds = Math.max(1, list("Kinds").length);
+    private ParsedSettings build() {
+        DispatchPolicy.Settings s = new DispatchPolicy.Settings();
+        s.dispatcherCount = count("Balancers", 1);
+        s.dispatcherIndex = count("Me", 0);
+        s.ownZone = count("Zone", 0);
+        s.timerGranularityMicros = micros("GranularityMs", 1);
+        s.kindCount = Math.max(1, list("Kinds").length);
         s.listPushed = choice("Discovery", "pushed", Map.of("pushed", true, "on_request", false));
-        s.reports = choice("Report.How", "silent", Map.of("piggyback", Dispatch.ReportMode.IN_ANSWERS,
-            "pull", Dispatch.ReportMode.ON_PROBE, "silent", Dispatch.ReportMode.NEVER));
-        s.probes = flag("Ceilings.Probes");
-        s.connectionIdle = micros("Ceilings.ConnIdleMs", 0);
-        s.connectTimeout = micros("Ceilings.ConnectTimeoutMs", 0);
-        s.connectPrice = number("Penalties.Handshake", 0);
-        s.cancels = flag("Ceilings.Cancel");
-        s.parallelAttempts = flag("Ceilings.ParallelTries");
+        s.reportMode = choice("Report.How", "silent", Map.of("piggyback", DispatchPolicy.ReportMode.IN_RESPONSES,
+            "pull", DispatchPolicy.ReportMode.ON_PROBE, "silent", DispatchPolicy.ReportMode.NEVER));
+        s.mayProbe = flag("Ceilings.Probes");
+        s.idleTimeoutMicros = micros("Ceilings.ConnIdleMs", 0);
+        s.connectTimeoutMicros = micros("Ceilings.ConnectTimeoutMs", 0);
+        s.connectCost = number("Penalties.Handshake", 0);
+        s.mayCancel = flag("Ceilings.Cancel");
+        s.mayHedge = flag("Ceilings.ParallelTries");
         s.maxAttempts = count("Ceilings.MaxAttempts", 1);
         s.worthByWork = choice("WorthBy", "request", Map.of("request", false, "work", true));
-        s.overShareWorth = number("OverShareWorth", 1);
+        s.overQuotaWorthShare = number("OverShareWorth", 1);
         s.rejectedMayHaveRun = flag("Safety.FullMayHaveRun");
-        s.longestComeBack = flag("Ceilings.RetryAfter") ? micros("Ceilings.MaxRetryAfterMs", 0) : 0;
-        s.tellsStart = flag("Extra.TellsStart");
-        s.progressEvery = micros("Extra.ProgressMs", 0);
-        s.askEvery = micros("Safety.AskEveryMs", 10_000);
-        s.coldShare = number("Safety.ColdShare", 1);
-        s.coldFor = micros("Safety.ColdMs", 0);
-        s.fallMultiple = number("Safety.FallMultiple", 1);
-        s.fallWindow = micros("Safety.FallMs", 0);
+        s.maxRetryAfterMicros = flag("Ceilings.RetryAfter") ? micros("Ceilings.MaxRetryAfterMs", 0) : 0;
+        s.backendsReportStart = flag("Extra.TellsStart");
+        s.progressIntervalMicros = micros("Extra.ProgressMs", 0);
+        s.maxWatchIntervalMicros = micros("Safety.AskEveryMs", 10_000);
+        s.coldCapacityShare = number("Safety.ColdShare", 1);
+        s.warmUpMicros = micros("Safety.ColdMs", 0);
+        s.overloadMultiple = number("Safety.FallMultiple", 1);
+        s.overloadWindowMicros = micros("Safety.FallMs", 0);
         for (int i = 0; i < count("RequestClasses.count", null); i++) {
-            s.classes.add(jobClass("RequestClasses." + i + ".", i, s.kinds));
+            s.classes.add(requestClass("RequestClasses." + i + ".", i, s.kindCount));
         }
         for (int i = 0; i < count("Customers.count", 0); i++) {
             String at = "Customers." + i + ".";
-            s.tenants.add(new Dispatch.Tenant(values.getOrDefault(at + "Name", "tenant " + i),
+            s.tenants.add(new DispatchPolicy.Tenant(values.getOrDefault(at + "Name", "tenant " + i),
                 number(at + "QuotaPerS", 0)));
         }
-        return new Parsed(s, list("Report.Columns"));
+        return new ParsedSettings(s, list("Report.Columns"));
     }
 
-    private Dispatch.JobClass jobClass(String at, int i, int kinds) {
+    private DispatchPolicy.RequestClass requestClass(String at, int i, int kinds) {
         String[] classKinds = list("Extra.ClassKind"), stretches = list("Extra.ClassStretch");
         double stretch = i < stretches.length ? toNumber("Extra.ClassStretch", stretches[i]) : 0;
         int kind = i < classKinds.length ? (int) toNumber("Extra.ClassKind", classKinds[i]) : -1;
@@ -89,11 +89,11 @@
         if (kind >= 0) {
             bound = bound == null || bound.contains(kind) ? Set.of(kind) : Set.of();
         }
-        return new Dispatch.JobClass(values.getOrDefault(at + "Name", "class " + i),
-            choice(at + "Effect", null, Map.of("repeatable", Dispatch.Effect.REPEATABLE,
-                "by_key", Dispatch.Effect.BY_KEY, "once", Dispatch.Effect.ONCE)),
-            choice(at + "Group", "all", Map.of("all", Dispatch.Scope.ALL, "zone", Dispatch.Scope.ZONE,
-                "cell", Dispatch.Scope.CELL)),
+        return new DispatchPolicy.RequestClass(values.getOrDefault(at + "Name", "class " + i),
+            choice(at + "Effect", null, Map.of("repeatable", DispatchPolicy.Effect.REPEATABLE,
+                "by_key", DispatchPolicy.Effect.BY_KEY, "once", DispatchPolicy.Effect.ONCE)),
+            choice(at + "Group", "all", Map.of("all", DispatchPolicy.DedupScope.ALL, "zone", DispatchPolicy.DedupScope.ZONE,
+                "cell", DispatchPolicy.DedupScope.CELL)),
             micros(at + "TargetMs", null), number(at + "AimStretch", stretch), micros(at + "GiveUpMs", null),
             micros(at + "DedupWindowMs", 0), number(at + "Gain", 1), number(at + "LateShare", 0),
             bound, indices(at + "AllowedIn", Integer.MAX_VALUE), flag(at + "Stream"));
--- a/src/main/java/badgermux/console/Console.java
+++ b/src/main/java/badgermux/console/Console.java
@@ -19,18 +19,18 @@
 /** Where operators call: a listener of its own, with room of its own. */
 public final class Console {
     /** A caller that has brought no whole line by then is closed. */
-    static final long WHOLE_WITHIN = 5_000_000;
+    static final long COMMAND_TIMEOUT_MICROS = 5_000_000;
     /** How long a caller that has its answer is heard out before it is closed. */
-    static final long LINGER = 1_000_000;
+    static final long LINGER_MICROS = 1_000_000;
 
     private final EventLoopGroup loop;
     private final Deadlines deadlines;
     private final Metrics metrics;
     private final CommandHandler handler;
-    private int cap;
+    private int maxConnections;
     /** Those that have no answer yet, the one that has waited longest first; then those that are heard out. */
-    private final LinkedHashSet<ConsoleConnection> callers = new LinkedHashSet<>();
-    private final LinkedHashSet<ConsoleConnection> leaving = new LinkedHashSet<>();
+    private final LinkedHashSet<ConsoleConnection> waiting = new LinkedHashSet<>();
+    private final LinkedHashSet<ConsoleConnection> lingering = new LinkedHashSet<>();
     private Channel listener;
 
     /** Makes a console that does not listen yet; {@code cap} bounds how many callers there are at once. */
@@ -39,7 +39,7 @@
         this.deadlines = deadlines;
         this.metrics = metrics;
         this.handler = handler;
-        this.cap = cap;
+        this.maxConnections = cap;
     }
 
     /** Listens on this address only. */
@@ -64,8 +64,8 @@
     }
 
     /** Bounds how many callers there are at once from here on. */
-    public void limit(int most) {
-        cap = most;
+    public void setMaxConnections(int most) {
+        maxConnections = most;
     }
 
     /** Takes no more callers; those who wait still get their answer. */
@@ -76,25 +76,25 @@
     // ---- For its callers
 
     /** Guards against callers that hold all places with half a call: who comes gets the place of who waited longest. */
-    void opened(ConsoleConnection caller) {
-        if (callers.size() + leaving.size() >= cap) {
-            ConsoleConnection victim = (leaving.isEmpty() ? callers : leaving).iterator().next();
-            metrics.add(Count.CONSOLE_CALLERS_EVICTED);
-            closed(victim);
+    void onOpened(ConsoleConnection caller) {
+        if (waiting.size() + lingering.size() >= maxConnections) {
+            ConsoleConnection victim = (lingering.isEmpty() ? waiting : lingering).iterator().next();
+            metrics.increment(Count.CONSOLE_CALLERS_EVICTED);
+            onClosed(victim);
             victim.close();
         }
-        callers.add(caller);
+        waiting.add(caller);
     }
 
-    void leaves(ConsoleConnection caller) {
-        if (callers.remove(caller)) {
-            leaving.add(caller);
+    void onAnswered(ConsoleConnection caller) {
+        if (waiting.remove(caller)) {
+            lingering.add(caller);
         }
     }
 
-    void closed(ConsoleConnection caller) {
-        callers.remove(caller);
-        leaving.remove(caller);
+    void onClosed(ConsoleConnection caller) {
+        waiting.remove(caller);
+        lingering.remove(caller);
     }
 
     CommandHandler handler() {
--- a/src/main/java/badgermux/console/ConsoleCommand.java
+++ b/src/main/java/badgermux/console/ConsoleCommand.java
@@ -6,73 +6,73 @@
 /**
  * A call as its line says it.
  *
- * @param word what is asked
- * @param id   the runner it is asked of; null where none is
+ * @param verb what is asked
+ * @param argument   the runner it is asked of; null where none is
  */
-public record ConsoleCommand(Word word, String id) {
+public record ConsoleCommand(Verb verb, String argument) {
     /** What may be asked. */
-    public enum Word {
+    public enum Verb {
         HEALTH(false), DUMP(false), OFFLINE(true), ONLINE(true),
         /** From the next process of this dispatcher; in place of an id there is the secret that this one wrote down. */
         TAKEOVER(true);
 
-        private final boolean ofRunner;
+        private final boolean takesArgument;
 
-        Word(boolean ofRunner) {
-            this.ofRunner = ofRunner;
+        Verb(boolean ofRunner) {
+            this.takesArgument = ofRunner;
         }
     }
 
     /** A line that is no call; the message is the reason, in one line of plain text. */
-    public static final class MalformedCommand extends Exception {
+    public static final class MalformedCommandException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        MalformedCommand(String reason) {
+        MalformedCommandException(String reason) {
             super(reason);
         }
     }
 
     /** The longest line in bytes, its end not counted. */
-    public static final int MAX_LINE = 256;
+    public static final int MAX_LINE_BYTES = 256;
     /** The longest id of a runner. */
-    public static final int MAX_ID = 128;
+    public static final int MAX_ID_CHARS = 128;
 
     /**
      * Reads a line without its end. Words may come in small letters too; blanks around and between them don't count.
      *
-     * @throws MalformedCommand where it is too long or not plain ASCII, begins with no known word, or has an argument too many or
+     * @throws MalformedCommandException where it is too long or not plain ASCII, begins with no known word, or has an argument too many or
      *     too few
      */
-    public static ConsoleCommand parse(byte[] line) throws MalformedCommand {
-        if (line.length > MAX_LINE) {
-            throw new MalformedCommand("the line is longer than " + MAX_LINE + " bytes");
+    public static ConsoleCommand parse(byte[] line) throws MalformedCommandException {
+        if (line.length > MAX_LINE_BYTES) {
+            throw new MalformedCommandException("the line is longer than " + MAX_LINE_BYTES + " bytes");
         }
         for (byte b : line) {
             if (b < ' ' && b != '\t' || b == 127) {
-                throw new MalformedCommand("the line holds bytes that are no plain text");
+                throw new MalformedCommandException("the line holds bytes that are no plain text");
             }
         }
         String[] parts = new String(line, StandardCharsets.US_ASCII).strip().split("[ \t]+");
-        Word word = word(parts[0]);
-        if (parts.length > (word.ofRunner ? 2 : 1)) {
-            throw new MalformedCommand(word + " has an argument too many");
+        Verb word = verb(parts[0]);
+        if (parts.length > (word.takesArgument ? 2 : 1)) {
+            throw new MalformedCommandException(word + " has an argument too many");
         }
-        if (parts.length < (word.ofRunner ? 2 : 1)) {
-            throw new MalformedCommand(word + " needs " + (word == Word.TAKEOVER ? "a secret" : "the id of a runner"));
+        if (parts.length < (word.takesArgument ? 2 : 1)) {
+            throw new MalformedCommandException(word + " needs " + (word == Verb.TAKEOVER ? "a secret" : "the id of a runner"));
         }
-        String id = word.ofRunner ? parts[1] : null;
-        if (id != null && id.length() > MAX_ID) {
-            throw new MalformedCommand("no runner has an id of more than " + MAX_ID + " characters");
+        String id = word.takesArgument ? parts[1] : null;
+        if (id != null && id.length() > MAX_ID_CHARS) {
+            throw new MalformedCommandException("no runner has an id of more than " + MAX_ID_CHARS + " characters");
         }
         return new ConsoleCommand(word, id);
     }
 
-    private static Word word(String text) throws MalformedCommand {
-        for (Word word : Word.values()) {
+    private static Verb verb(String text) throws MalformedCommandException {
+        for (Verb word : Verb.values()) {
             if (word.name().equals(text.toUpperCase(Locale.ROOT))) {
                 return word;
             }
         }
-        throw new MalformedCommand("the calls are HEALTH, DUMP, OFFLINE ID and ONLINE ID");
+        throw new MalformedCommandException("the calls are HEALTH, DUMP, OFFLINE ID and ONLINE ID");
     }
 }
--- a/src/main/java/badgermux/console/ConsoleConnection.java
+++ b/src/main/java/badgermux/console/ConsoleConnection.java
@@ -21,8 +21,8 @@
     private final Console console;
     private final SocketChannel channel;
     private final ByteArrayOutputStream line = new ByteArrayOutputStream(32);
-    private Deadlines.Deadline limit;
-    private boolean called;
+    private Deadlines.Deadline timeout;
+    private boolean commandReceived;
     private boolean answered;
 
     ConsoleConnection(Console console, SocketChannel channel) {
@@ -31,22 +31,22 @@
     }
 
     @Override public void channelActive(ChannelHandlerContext ctx) {
-        limit = console.deadlines().after(Console.WHOLE_WITHIN, this::tooLate);
-        console.opened(this);
+        timeout = console.deadlines().scheduleAfter(Console.COMMAND_TIMEOUT_MICROS, this::onTimeout);
+        console.onOpened(this);
     }
 
-    private void tooLate() {
-        console.metrics().add(Count.CONSOLE_CALLERS_SILENT);
+    private void onTimeout() {
+        console.metrics().increment(Count.CONSOLE_CALLERS_SILENT);
         close();
     }
 
     @Override public void channelRead(ChannelHandlerContext ctx, Object message) {
         ByteBuf in = (ByteBuf) message;
         // What comes behind a call is read and forgotten: a close with bytes unread would eat the answer on its way.
-        while (!called && in.isReadable()) {
+        while (!commandReceived && in.isReadable()) {
             byte b = in.readByte();
-            if (b == '\n' || line.size() > ConsoleCommand.MAX_LINE) {
-                call();
+            if (b == '\n' || line.size() > ConsoleCommand.MAX_LINE_BYTES) {
+                runCommand();
             } else {
                 line.write(b);
             }
@@ -56,57 +56,57 @@
 
     @Override public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
         if (event instanceof ChannelInputShutdownEvent) {
-            if (!called && line.size() > 0) {
-                call();     // the end of input ends a line, too
-            } else if (!called || answered) {
+            if (!commandReceived && line.size() > 0) {
+                runCommand();     // the end of input ends a line, too
+            } else if (!commandReceived || answered) {
                 close();
             }
         }
     }
 
-    private void call() {
-        called = true;
+    private void runCommand() {
+        commandReceived = true;
         byte[] bytes = line.toByteArray();
         int length = bytes.length > 0 && bytes[bytes.length - 1] == '\r' ? bytes.length - 1 : bytes.length;
         try {
             ConsoleCommand call = ConsoleCommand.parse(Arrays.copyOf(bytes, length));
-            console.metrics().add(Count.CONSOLE_CALLS);
-            switch (call.word()) {
-                case HEALTH -> tell(console.handler().notReady(), "ready");
-                case DUMP -> answer("200 figures follow\n" + console.handler().figures() + "EOF\n");
-                case OFFLINE -> console.handler().takeOut(call.id(), why -> tell(why, "out: " + call.id()));
-                case TAKEOVER -> takeOver(call.id());
-                case ONLINE -> console.handler().putBack(call.id(), why -> tell(why, "back: " + call.id()));
+            console.metrics().increment(Count.CONSOLE_CALLS);
+            switch (call.verb()) {
+                case HEALTH -> replyStatus(console.handler().notReadyReason(), "ready");
+                case DUMP -> reply("200 figures follow\n" + console.handler().metricsText() + "EOF\n");
+                case OFFLINE -> console.handler().cordon(call.argument(), why -> replyStatus(why, "out: " + call.argument()));
+                case TAKEOVER -> becomeHandoverLink(call.argument());
+                case ONLINE -> console.handler().uncordon(call.argument(), why -> replyStatus(why, "back: " + call.argument()));
             }
-        } catch (ConsoleCommand.MalformedCommand e) {
-            tell(e.getMessage(), null);
+        } catch (ConsoleCommand.MalformedCommandException e) {
+            replyStatus(e.getMessage(), null);
         }
     }
 
-    private void takeOver(String secret) {
-        ChannelHandler next = console.handler().takeOver(secret);
+    private void becomeHandoverLink(String secret) {
+        ChannelHandler next = console.handler().createHandoverLink(secret);
         if (next == null) {
-            tell("that is not the secret of this process", null);
+            replyStatus("that is not the secret of this process", null);
             return;
         }
-        console.deadlines().cancel(limit);
-        console.closed(this);
+        console.deadlines().cancel(timeout);
+        console.onClosed(this);
         channel.pipeline().replace(this, "link", next);
-        console.handler().takenOver(next);
+        console.handler().startHandover(next);
     }
 
-    private void tell(String no, String yes) {
+    private void replyStatus(String no, String yes) {
         if (no != null) {
-            console.metrics().add(Count.CONSOLE_CALLS_REFUSED);
+            console.metrics().increment(Count.CONSOLE_CALLS_REFUSED);
         }
-        answer(no == null ? "200 " + yes + "\n" : "400 " + no + "\n");
+        reply(no == null ? "200 " + yes + "\n" : "400 " + no + "\n");
     }
 
-    private void answer(String text) {
+    private void reply(String text) {
         answered = true;
-        console.deadlines().cancel(limit);
-        console.leaves(this);
-        limit = console.deadlines().after(Console.LINGER, this::close);
+        console.deadlines().cancel(timeout);
+        console.onAnswered(this);
+        timeout = console.deadlines().scheduleAfter(Console.LINGER_MICROS, this::close);
         channel.writeAndFlush(Unpooled.wrappedBuffer(text.getBytes(StandardCharsets.US_ASCII)))
             .addListener(ChannelFutureListener.CLOSE_ON_FAILURE)
             .addListener(done -> {
@@ -124,13 +124,13 @@
     }
 
     @Override public void channelInactive(ChannelHandlerContext ctx) {
-        console.deadlines().cancel(limit);
-        console.closed(this);
+        console.deadlines().cancel(timeout);
+        console.onClosed(this);
     }
 
     @Override public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (!(cause instanceof IOException)) {
-            console.metrics().add(Count.EXCEPTIONS);
+            console.metrics().increment(Count.EXCEPTIONS);
             Logger.error(cause, "exception on an operator's connection");
         }
         ctx.close();
--- a/src/main/java/badgermux/contract/Description.java
+++ b/src/main/java/badgermux/contract/ApiDescription.java
@@ -6,23 +6,23 @@
 import tools.jackson.databind.JsonNode;
 
 /** One compiled description: its routes, and what was noticed while it was read. It never changes. */
-public final class Description {
+public final class ApiDescription {
     /** One method on one path. {@code template} begins with its base path. */
     record Route(String template, String method, Operation operation) { }
 
     /** The streams of one channel; each may be null. */
-    record Channel(String template, Flow posted, Flow answered) { }
+    record Channel(String template, MessageStream requestStream, MessageStream responseStream) { }
 
     private final String name;
-    private final String kind;
-    private final Bundle bundle;
+    private final String specification;
+    private final DocumentBundle bundle;
     final List<Route> routes = new ArrayList<>();
     final List<Channel> channels = new ArrayList<>();
     private final List<Problem> warnings = new ArrayList<>();
 
-    Description(String name, String kind, Bundle bundle) {
+    ApiDescription(String name, String kind, DocumentBundle bundle) {
         this.name = name;
-        this.kind = kind;
+        this.specification = kind;
         this.bundle = bundle;
     }
 
@@ -34,12 +34,12 @@
      * @param others  documents that it may refer to
      * @throws DescriptionException with all that is wrong with it, as far as that could be seen
      */
-    public static Description compile(String name, Document primary, List<Document> others)
+    public static ApiDescription compile(String name, Document primary, List<Document> others)
             throws DescriptionException {
         JsonNode openapi = primary.root().get("openapi");
         JsonNode asyncapi = primary.root().get("asyncapi");
         if ((openapi == null) == (asyncapi == null)) {
-            throw new DescriptionException(primary.problem("", openapi == null
+            throw new DescriptionException(primary.problemAt("", openapi == null
                 ? "neither openapi nor asyncapi names a version" : "openapi and asyncapi in one document"));
         }
         boolean open = openapi != null;
@@ -47,15 +47,15 @@
         String text = version.isString() ? version.stringValue() : "";
         boolean known = open ? text.matches("3\\.[01]\\.[0-9]{1,3}(-.*)?") : text.matches("2\\.6\\.[0-9]{1,3}|3\\.0\\.[0-9]{1,3}");
         if (!known) {
-            throw new DescriptionException(primary.problem(open ? "/openapi" : "/asyncapi", open
+            throw new DescriptionException(primary.problemAt(open ? "/openapi" : "/asyncapi", open
                 ? "only OpenAPI 3.0 and 3.1 can be read" : "only AsyncAPI 2.6 and 3.0 can be read"));
         }
-        Bundle bundle = Bundle.of(primary, others);
-        Description description = new Description(name, (open ? "openapi " : "asyncapi ") + text.substring(0, 3), bundle);
+        DocumentBundle bundle = DocumentBundle.of(primary, others);
+        ApiDescription description = new ApiDescription(name, (open ? "openapi " : "asyncapi ") + text.substring(0, 3), bundle);
         if (open) {
-            new OpenApi(description, bundle, text.startsWith("3.0")).read();
+            new OpenApiReader(description, bundle, text.startsWith("3.0")).read();
         } else {
-            new AsyncApi(description, bundle, text.startsWith("2")).read();
+            new AsyncApiReader(description, bundle, text.startsWith("2")).read();
         }
         return description;
     }
@@ -65,8 +65,8 @@
     }
 
     /** The language and its version, such as {@code openapi 3.1}. */
-    public String kind() {
-        return kind;
+    public String specification() {
+        return specification;
     }
 
     /** How many operations and streams it has. */
@@ -79,11 +79,11 @@
         return List.copyOf(warnings);
     }
 
-    Bundle bundle() {
+    DocumentBundle bundle() {
         return bundle;
     }
 
-    void warn(Problem problem) {
+    void addWarning(Problem problem) {
         if (warnings.size() < 100) {
             warnings.add(problem);
         }
--- a/src/main/java/badgermux/contract/Document.java
+++ b/src/main/java/badgermux/contract/Document.java
@@ -7,7 +7,7 @@
 /** One document of a description as it came: its name, its bytes and the tree that they hold, JSON or YAML. */
 public final class Document {
     /** The longest document, in bytes, the deepest nesting, and how many values there may be. */
-    public static final int MAX_BYTES = 32 << 20, MAX_DEPTH = 200, MAX_NODES = 4_000_000;
+    public static final int MAX_BYTES = 32 << 20, MAX_DEPTH = 200, MAX_VALUES = 4_000_000;
 
     private final String name;
     private final byte[] bytes;
@@ -32,12 +32,12 @@
         }
         boolean yaml = !startsWithBrace(bytes);
         try {
-            JsonNode root = yaml ? Yaml.document(bytes) : Json.document(bytes);
+            JsonNode root = yaml ? Yaml.parseDocument(bytes) : Json.parseDocument(bytes);
             if (!root.isObject()) {
-                throw new Unreadable(1, "no object");
+                throw new SyntaxException(1, "no object");
             }
             return new Document(name, bytes, yaml, root);
-        } catch (Unreadable e) {
+        } catch (SyntaxException e) {
             throw new DescriptionException(new Problem(name, e.line(), "", e.getMessage()));
         }
     }
@@ -59,7 +59,7 @@
     }
 
     /** Whether it is a description, and not only a part of one. */
-    public boolean isRoot() {
+    public boolean isDescription() {
         return root.get("openapi") != null || root.get("asyncapi") != null;
     }
 
@@ -68,12 +68,12 @@
     }
 
     /** The line of the value at a pointer. The text is read again for it: only faults ask. */
-    int line(String pointer) {
-        List<String> steps = Json.steps(pointer);
+    int lineOf(String pointer) {
+        List<String> steps = Json.pointerTokens(pointer);
         return steps == null ? 0 : yaml ? Yaml.lineOf(bytes, steps) : Json.lineOf(bytes, steps);
     }
 
-    Problem problem(String pointer, String reason) {
-        return new Problem(name, line(pointer), pointer, reason);
+    Problem problemAt(String pointer, String reason) {
+        return new Problem(name, lineOf(pointer), pointer, reason);
     }
 }
--- a/src/main/java/badgermux/contract/Request.java
+++ b/src/main/java/badgermux/contract/HttpRequest.java
@@ -10,10 +10,10 @@
  * @param headers the header lines; chars are bytes
  * @param body    the body, framing taken off; empty for none
  */
-public record Request(String method, String target, Headers headers, byte[] body) {
+public record HttpRequest(String method, String target, Headers headers, byte[] body) {
     /** A message's header lines. */
     public interface Headers {
         /** The values of one, in their order; its name in any case. */
-        List<String> all(String name);
+        List<String> values(String name);
     }
 }
--- a/src/main/java/badgermux/contract/Json.java
+++ b/src/main/java/badgermux/contract/Json.java
@@ -27,55 +27,55 @@
     /** How deep arrays and objects may nest in a message. */
     static final int MAX_DEPTH = 64;
     /** The digits of a number, and the size of its exponent: a figure beyond them costs more than it says. */
-    static final int MAX_NUMBER = 128, MAX_EXPONENT = 512;
+    static final int MAX_NUMBER_LENGTH = 128, MAX_EXPONENT = 512;
 
     private static final JsonNodeFactory NODES = JsonNodeFactory.instance;
-    private static final JsonFactory MESSAGES = factory(MAX_DEPTH, 64 << 10);
-    private static final JsonFactory DOCUMENTS = factory(Document.MAX_DEPTH, 4 << 20);
+    private static final JsonFactory MESSAGE_FACTORY = newFactory(MAX_DEPTH, 64 << 10);
+    private static final JsonFactory DOCUMENT_FACTORY = newFactory(Document.MAX_DEPTH, 4 << 20);
 
     private Json() { }
 
-    private static JsonFactory factory(int depth, int longest) {
+    private static JsonFactory newFactory(int depth, int longest) {
         return JsonFactory.builder().streamReadConstraints(StreamReadConstraints.builder().maxNestingDepth(depth)
-            .maxNumberLength(MAX_NUMBER).maxStringLength(longest).maxNameLength(longest).build())
+            .maxNumberLength(MAX_NUMBER_LENGTH).maxStringLength(longest).maxNameLength(longest).build())
             .build();
     }
 
     /** A message's value. */
-    static JsonNode message(byte[] bytes) throws Unreadable {
-        return read(MESSAGES, bytes);
+    static JsonNode parseMessage(byte[] bytes) throws SyntaxException {
+        return parse(MESSAGE_FACTORY, bytes);
     }
 
     /** A description's tree, whose bounds are wider. */
-    static JsonNode document(byte[] bytes) throws Unreadable {
-        return read(DOCUMENTS, bytes);
+    static JsonNode parseDocument(byte[] bytes) throws SyntaxException {
+        return parse(DOCUMENT_FACTORY, bytes);
     }
 
-    private static JsonNode read(JsonFactory factory, byte[] bytes) throws Unreadable {
-        utf8(bytes);
+    private static JsonNode parse(JsonFactory factory, byte[] bytes) throws SyntaxException {
+        checkEncoding(bytes);
         try (JsonParser parser = factory.createParser(ObjectReadContext.empty(), bytes)) {
             if (parser.nextToken() == null) {
-                throw new Unreadable(1, "there is no JSON value");
+                throw new SyntaxException(1, "there is no JSON value");
             }
-            JsonNode value = value(parser);
+            JsonNode value = readValue(parser);
             if (parser.nextToken() != null) {
-                throw new Unreadable(line(parser), "something stands behind the JSON value");
+                throw new SyntaxException(lineNumber(parser), "something stands behind the JSON value");
             }
             return value;
         } catch (StreamConstraintsException e) {
-            throw new Unreadable(line(e), "a bound is passed: nesting, or the length of a number or string");
+            throw new SyntaxException(lineNumber(e), "a bound is passed: nesting, or the length of a number or string");
         } catch (JacksonException e) {
-            throw new Unreadable(line(e), "malformed JSON");
+            throw new SyntaxException(lineNumber(e), "malformed JSON");
         }
     }
 
     /** The line on which the value at a pointer begins; the nearest one above it where the text has none there. */
     static int lineOf(byte[] bytes, List<String> pointer) {
         int line = 1;
-        try (JsonParser parser = DOCUMENTS.createParser(ObjectReadContext.empty(), bytes)) {
+        try (JsonParser parser = DOCUMENT_FACTORY.createParser(ObjectReadContext.empty(), bytes)) {
             parser.nextToken();
             for (String step : pointer) {
-                line = line(parser);
+                line = lineNumber(parser);
                 boolean object = parser.currentToken() == JsonToken.START_OBJECT;
                 if (!object && parser.currentToken() != JsonToken.START_ARRAY) {
                     return line;
@@ -94,7 +94,7 @@
                 if (token == null || token.isStructEnd()) {
                     return line;
                 }
-                line = line(parser);
+                line = lineNumber(parser);
                 if (object) {
                     parser.nextToken();
                 }
@@ -105,64 +105,64 @@
         }
     }
 
-    private static int line(JsonParser parser) {
+    private static int lineNumber(JsonParser parser) {
         return parser.currentTokenLocation().getLineNr();
     }
 
-    private static int line(JacksonException e) {
+    private static int lineNumber(JacksonException e) {
         return e.getLocation() == null ? 0 : Math.max(0, e.getLocation().getLineNr());
     }
 
     /** Guards against other encodings, which the parser would guess, and against overlong or broken sequences. */
-    private static void utf8(byte[] bytes) throws Unreadable {
+    private static void checkEncoding(byte[] bytes) throws SyntaxException {
         if (bytes.length > 2 && (bytes[0] & 0xff) == 0xef && (bytes[1] & 0xff) == 0xbb && (bytes[2] & 0xff) == 0xbf) {
-            throw new Unreadable(1, "a byte order mark stands before the JSON value");
+            throw new SyntaxException(1, "a byte order mark stands before the JSON value");
         }
         boolean ascii = true;
         for (byte b : bytes) {
             ascii &= b > 0;
         }
         if (!ascii) {
-            text(bytes);
+            decodeUtf8(bytes);
             if (bytes[0] == 0 || bytes.length > 1 && bytes[1] == 0) {
-                throw new Unreadable(1, "the text is not UTF-8");
+                throw new SyntaxException(1, "the text is not UTF-8");
             }
         }
     }
 
     /** Strictly decoded UTF-8. */
-    static String text(byte[] bytes) throws Unreadable {
+    static String decodeUtf8(byte[] bytes) throws SyntaxException {
         try {
             return StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(bytes)).toString();
         } catch (CharacterCodingException e) {
-            throw new Unreadable(0, "the text is not UTF-8");
+            throw new SyntaxException(0, "the text is not UTF-8");
         }
     }
 
-    private static JsonNode value(JsonParser parser) throws Unreadable {
+    private static JsonNode readValue(JsonParser parser) throws SyntaxException {
         switch (parser.currentToken()) {
             case START_OBJECT -> {
                 ObjectNode object = NODES.objectNode();
                 while (parser.nextToken() != JsonToken.END_OBJECT) {
-                    String name = whole(parser, parser.currentName());
+                    String name = checkSurrogates(parser, parser.currentName());
                     parser.nextToken();
                     // The parser's own check of this costs a third of the reading.
                     if (object.has(name)) {
-                        throw new Unreadable(line(parser), "a name stands twice in one object");
+                        throw new SyntaxException(lineNumber(parser), "a name stands twice in one object");
                     }
-                    object.set(name, value(parser));
+                    object.set(name, readValue(parser));
                 }
                 return object;
             }
             case START_ARRAY -> {
                 ArrayNode array = NODES.arrayNode();
                 while (parser.nextToken() != JsonToken.END_ARRAY) {
-                    array.add(value(parser));
+                    array.add(readValue(parser));
                 }
                 return array;
             }
             case VALUE_STRING -> {
-                return NODES.stringNode(whole(parser, parser.getString()));
+                return NODES.stringNode(checkSurrogates(parser, parser.getString()));
             }
             case VALUE_NUMBER_INT -> {
                 return switch (parser.getNumberType()) {
@@ -172,7 +172,7 @@
                 };
             }
             case VALUE_NUMBER_FLOAT -> {
-                return number(parser.getString(), line(parser));
+                return parseNumber(parser.getString(), lineNumber(parser));
             }
             case VALUE_TRUE -> {
                 return NODES.booleanNode(true);
@@ -183,32 +183,32 @@
             case VALUE_NULL -> {
                 return NODES.nullNode();
             }
-            default -> throw new Unreadable(line(parser), "malformed JSON");
+            default -> throw new SyntaxException(lineNumber(parser), "malformed JSON");
         }
     }
 
     /** A number with a fraction or an exponent, exactly as it is written; -1 as the line where it is not known. */
-    static JsonNode number(String text, int line) throws Unreadable {
+    static JsonNode parseNumber(String text, int line) throws SyntaxException {
         BigDecimal number;
         try {
-            number = text.length() > MAX_NUMBER ? null : new BigDecimal(text);
+            number = text.length() > MAX_NUMBER_LENGTH ? null : new BigDecimal(text);
         } catch (NumberFormatException e) {
             number = null;
         }
         // Guards against 1e999999999, whose digits would be written out by the first comparison.
         if (number == null || Math.abs((long) number.precision() - number.scale()) > MAX_EXPONENT
                 || Math.abs((long) number.scale()) > MAX_EXPONENT) {
-            throw new Unreadable(line, "a number is out of bounds");
+            throw new SyntaxException(line, "a number is out of bounds");
         }
         return NODES.numberNode(number);
     }
 
-    private static String whole(JsonParser parser, String text) throws Unreadable {
+    private static String checkSurrogates(JsonParser parser, String text) throws SyntaxException {
         for (int i = 0; i < text.length(); i++) {
             if (Character.isSurrogate(text.charAt(i))) {
                 if (!Character.isHighSurrogate(text.charAt(i)) || i + 1 == text.length()
                         || !Character.isLowSurrogate(text.charAt(i + 1))) {
-                    throw new Unreadable(line(parser), "half of a surrogate pair");
+                    throw new SyntaxException(lineNumber(parser), "half of a surrogate pair");
                 }
                 i++;
             }
@@ -217,7 +217,7 @@
     }
 
     /** The steps of a JSON pointer (RFC 6901); null where it is none. */
-    static List<String> steps(String pointer) {
+    static List<String> pointerTokens(String pointer) {
         List<String> steps = new ArrayList<>();
         if (pointer.isEmpty()) {
             return steps;
@@ -232,12 +232,12 @@
     }
 
     /** One step as it stands in a pointer. */
-    static String step(String name) {
+    static String escapeToken(String name) {
         return name.replace("~", "~0").replace("/", "~1");
     }
 
     /** The value at a pointer's steps; null where there is none. */
-    static JsonNode at(JsonNode root, List<String> steps) {
+    static JsonNode valueAt(JsonNode root, List<String> steps) {
         JsonNode at = root;
         for (String step : steps) {
             if (at instanceof ObjectNode object) {
--- a/src/main/java/badgermux/contract/MediaType.java
+++ b/src/main/java/badgermux/contract/MediaType.java
@@ -5,10 +5,10 @@
 
 /** A media type or range (RFC 9110, 8.3.1 and 12.5.1), its parameters but for the charset left out. */
 record MediaType(String type, String subtype, String charset) {
-    private static final String TOKEN = "!#$%&'*+.^_`|~-";
+    private static final String TOKEN_PUNCTUATION = "!#$%&'*+.^_`|~-";
     private static final MediaType JSON = new MediaType("application", "json", null);
     /** RFC 9110, 8.3: what has no Content-Type may be taken for bytes. */
-    static final MediaType NONE = new MediaType("application", "octet-stream", null);
+    static final MediaType OCTET_STREAM = new MediaType("application", "octet-stream", null);
 
     /** Null where the text is none. */
     static MediaType parse(String text) {
@@ -36,7 +36,7 @@
     private static boolean isToken(String text) {
         for (int i = 0; i < text.length(); i++) {
             char c = text.charAt(i);
-            if (!(c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9') && TOKEN.indexOf(c) < 0) {
+            if (!(c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9') && TOKEN_PUNCTUATION.indexOf(c) < 0) {
                 return false;
             }
         }
@@ -47,7 +47,7 @@
         return subtype.equals("json") || subtype.endsWith("+json");
     }
 
-    boolean isLines() {
+    boolean isJsonLines() {
         return subtype.equals("x-ndjson") || subtype.equals("ndjson") || subtype.equals("jsonl")
             || subtype.equals("x-jsonlines");
     }
@@ -61,7 +61,7 @@
     }
 
     /** The entry of a content map that fits best: the type itself, then its range, then any; null for none. */
-    static <T> T best(Map<MediaType, T> content, MediaType of) {
+    static <T> T bestMatch(Map<MediaType, T> content, MediaType of) {
         T best = null;
         int rank = 0;
         for (Map.Entry<MediaType, T> entry : content.entrySet()) {
