--- a/src/main/java/badgermux/contract/Order.java
+++ b/src/main/java/badgermux/contract/MessageOrder.java
@@ -16,44 +16,44 @@
  * @param follow what may come after each message; one that is not named there ends the order
  * @param last   what may come last
  */
-record Order(Set<String> first, Map<String, Set<String>> follow, Set<String> last) {
-    static final String KEY = "x-order";
+record MessageOrder(Set<String> first, Map<String, Set<String>> follow, Set<String> last) {
+    static final String EXTENSION_KEY = "x-order";
 
     /** Reads it; the reasons why it can't be used go to {@code problems}, each with the pointer below it. */
-    static Order read(JsonNode from, Set<String> messages, Map<String, String> problems) {
+    static MessageOrder read(JsonNode from, Set<String> messages, Map<String, String> problems) {
         if (!from.isObject()) {
             problems.put("", "must be an object of first, follow and last");
             return null;
         }
         for (String key : from.propertyNames()) {
             if (!Set.of("first", "follow", "last").contains(key)) {
-                problems.put('/' + Json.step(key), "is none of first, follow and last");
+                problems.put('/' + Json.escapeToken(key), "is none of first, follow and last");
             }
         }
-        Set<String> first = names(from.get("first"), "/first", messages, problems);
-        Set<String> last = names(from.get("last"), "/last", messages, problems);
+        Set<String> first = readNames(from.get("first"), "/first", messages, problems);
+        Set<String> last = readNames(from.get("last"), "/last", messages, problems);
         Map<String, Set<String>> follow = new LinkedHashMap<>();
         JsonNode next = from.get("follow");
         if (next != null && !next.isObject()) {
             problems.put("/follow", "must be an object of message names");
         } else if (next != null) {
             for (Map.Entry<String, JsonNode> entry : next.properties()) {
-                String at = "/follow/" + Json.step(entry.getKey());
+                String at = "/follow/" + Json.escapeToken(entry.getKey());
                 if (!messages.contains(entry.getKey())) {
                     problems.put(at, "is no message of this operation");
                 }
-                follow.put(entry.getKey(), names(entry.getValue(), at, messages, problems));
+                follow.put(entry.getKey(), readNames(entry.getValue(), at, messages, problems));
             }
         }
         if (!problems.isEmpty()) {
             return null;
         }
-        Order order = new Order(first, follow, last);
-        order.check(messages, problems);
+        MessageOrder order = new MessageOrder(first, follow, last);
+        order.checkReachability(messages, problems);
         return problems.isEmpty() ? order : null;
     }
 
-    private static Set<String> names(JsonNode list, String at, Set<String> messages, Map<String, String> problems) {
+    private static Set<String> readNames(JsonNode list, String at, Set<String> messages, Map<String, String> problems) {
         Set<String> names = new LinkedHashSet<>();
         if (list == null || !list.isArray() || list.isEmpty()) {
             problems.put(at, "must be a list of message names");
@@ -70,7 +70,7 @@
     }
 
     /** Each message can come, and from each there is a way to a last one. */
-    private void check(Set<String> messages, Map<String, String> problems) {
+    private void checkReachability(Set<String> messages, Map<String, String> problems) {
         Set<String> reached = new LinkedHashSet<>(first);
         for (List<String> open = new ArrayList<>(first); !open.isEmpty();) {
             for (String next : follow.getOrDefault(open.remove(open.size() - 1), Set.of())) {
@@ -97,7 +97,7 @@
     }
 
     /** What may come after any of these; {@code null} stands for the beginning. */
-    Set<String> after(Set<String> states) {
+    Set<String> allowedAfter(Set<String> states) {
         if (states == null) {
             return first;
         }
--- a/src/main/java/badgermux/contract/Flow.java
+++ b/src/main/java/badgermux/contract/MessageStream.java
@@ -13,9 +13,9 @@
 import tools.jackson.databind.node.ObjectNode;
 
 /** A described stream of messages, one JSON value a line, and the order in which they may come. */
-final class Flow {
+final class MessageStream {
     /** How many lines one stream may have, and how many correlation ids may be open in it at once. */
-    static final int MAX_LINES = 4_096, MAX_OPEN = 1_024;
+    static final int MAX_LINES = 4_096, MAX_CORRELATION_IDS = 1_024;
 
     /**
      * A message that may come.
@@ -24,18 +24,18 @@
      * @param payload     the schema of its payload; null for any
      * @param headers     the schema of its headers; null for any
      * @param headerNames the header names that this schema speaks of
-     * @param correlation the steps to its correlation id in the payload; null for none
+     * @param correlationIdPath the steps to its correlation id in the payload; null for none
      */
-    record Message(String name, Schemas.Compiled payload, Schemas.Compiled headers, Set<String> headerNames,
-            List<String> correlation) { }
+    record Message(String name, SchemaCompiler.CompiledSchema payload, SchemaCompiler.CompiledSchema headers, Set<String> headerNames,
+            List<String> correlationIdPath) { }
 
     private final String description;
     private final String address;
     private final Map<String, Message> messages;
-    private final Order order;
+    private final MessageOrder order;
 
     /** {@code order} is null where any message may come at any time. */
-    Flow(String description, String address, Map<String, Message> messages, Order order) {
+    MessageStream(String description, String address, Map<String, Message> messages, MessageOrder order) {
         this.description = description;
         this.address = address;
         this.messages = messages;
@@ -54,18 +54,18 @@
         return messages;
     }
 
-    Order order() {
+    MessageOrder order() {
         return order;
     }
 
     /** Begins to judge a stream whose message came with these headers. */
-    Stream open(Request.Headers headers, Schemas.Way way) {
-        return new Stream(headers, way);
+    Validator newValidator(HttpRequest.Headers headers, SchemaCompiler.Direction way) {
+        return new Validator(headers, way);
     }
 
     /** The faults of a whole body; only the first line at fault is told, since what follows rests on it. */
-    List<Fault> judgeWhole(byte[] body, Request.Headers headers, long steps) throws Unreadable {
-        Stream stream = open(headers, Schemas.Way.REQUEST);
+    List<Fault> validateBody(byte[] body, HttpRequest.Headers headers, long steps) throws SyntaxException {
+        Validator stream = newValidator(headers, SchemaCompiler.Direction.REQUEST);
         int number = 0;
         int from = 0;
         for (int i = 0; i <= body.length; i++) {
@@ -77,110 +77,110 @@
                 if (!new String(line, StandardCharsets.ISO_8859_1).isBlank()) {
                     List<Fault> faults;
                     try {
-                        faults = stream.line(line, steps);
-                    } catch (Unreadable e) {
-                        throw new Unreadable(number, e.getMessage());
+                        faults = stream.validateLine(line, steps);
+                    } catch (SyntaxException e) {
+                        throw new SyntaxException(number, e.getMessage());
                     }
                     if (!faults.isEmpty()) {
-                        return at(faults, number);
+                        return prefixLine(faults, number);
                     }
                 }
             }
         }
-        return at(stream.end(), number);
+        return prefixLine(stream.validateEnd(), number);
     }
 
     /** The same faults with the line in front of their pointers, counted from 0 as in an array. */
-    private static List<Fault> at(List<Fault> faults, int number) {
+    private static List<Fault> prefixLine(List<Fault> faults, int number) {
         return faults.stream().map(fault -> fault.in().equals("body")
             ? new Fault(fault.in(), "/" + (number - 1) + fault.pointer(), fault.keyword(), fault.message()) : fault)
             .toList();
     }
 
     /** One stream as it goes on. */
-    final class Stream {
-        private final Request.Headers headers;
-        private final Schemas.Way way;
+    final class Validator {
+        private final HttpRequest.Headers headers;
+        private final SchemaCompiler.Direction direction;
         /** The messages that each open correlation id may have come to. */
-        private final Map<String, Set<String>> states = new HashMap<>();
-        private int lines;
+        private final Map<String, Set<String>> statesByCorrelation = new HashMap<>();
+        private int lineCount;
 
-        private Stream(Request.Headers headers, Schemas.Way way) {
+        private Validator(HttpRequest.Headers headers, SchemaCompiler.Direction way) {
             this.headers = headers;
-            this.way = way;
+            this.direction = way;
         }
 
         /** The faults of the next line; none where it may come now. */
-        List<Fault> line(byte[] line, long steps) throws Unreadable {
-            if (++lines > MAX_LINES) {
-                return List.of(Fault.body("", "maxItems", "must have " + MAX_LINES + " lines or fewer"));
+        List<Fault> validateLine(byte[] line, long steps) throws SyntaxException {
+            if (++lineCount > MAX_LINES) {
+                return List.of(Fault.inBody("", "maxItems", "must have " + MAX_LINES + " lines or fewer"));
             }
-            JsonNode value = Json.message(line);
-            long each = Math.min(steps, Schemas.FEW_STEPS);
+            JsonNode value = Json.parseMessage(line);
+            long each = Math.min(steps, SchemaCompiler.MAX_QUICK_STEPS);
             Map<String, Set<String>> fitting = new HashMap<>();
             List<Fault> why = new ArrayList<>();
             for (Message message : messages.values()) {
-                List<Fault> faults = judge(message, value, each);
+                List<Fault> faults = validateMessage(message, value, each);
                 if (faults.isEmpty()) {
-                    fitting.computeIfAbsent(correlation(message, value), key -> new LinkedHashSet<>())
+                    fitting.computeIfAbsent(correlationKey(message, value), key -> new LinkedHashSet<>())
                         .add(message.name());
                 } else if (messages.size() == 1) {
                     why = faults;
                 }
             }
             if (fitting.isEmpty()) {
-                return !why.isEmpty() ? why : List.of(Fault.body("", "message", "conforms to none of the messages "
+                return !why.isEmpty() ? why : List.of(Fault.inBody("", "message", "conforms to none of the messages "
                     + String.join(", ", messages.keySet())));
             }
-            return order == null ? List.of() : next(fitting);
+            return order == null ? List.of() : advance(fitting);
         }
 
-        private List<Fault> next(Map<String, Set<String>> fitting) {
+        private List<Fault> advance(Map<String, Set<String>> fitting) {
             Set<String> came = new LinkedHashSet<>();
             Set<String> expected = new LinkedHashSet<>();
             for (Map.Entry<String, Set<String>> entry : fitting.entrySet()) {
-                Set<String> allowed = order.after(states.get(entry.getKey()));
+                Set<String> allowed = order.allowedAfter(statesByCorrelation.get(entry.getKey()));
                 Set<String> now = new LinkedHashSet<>(entry.getValue());
                 came.addAll(now);
                 expected.addAll(allowed);
                 now.retainAll(allowed);
                 if (!now.isEmpty()) {
-                    if (!states.containsKey(entry.getKey()) && states.size() >= MAX_OPEN) {
-                        return List.of(Fault.body("", Order.KEY, "has more than " + MAX_OPEN + " correlation ids"));
+                    if (!statesByCorrelation.containsKey(entry.getKey()) && statesByCorrelation.size() >= MAX_CORRELATION_IDS) {
+                        return List.of(Fault.inBody("", MessageOrder.EXTENSION_KEY, "has more than " + MAX_CORRELATION_IDS + " correlation ids"));
                     }
-                    states.put(entry.getKey(), now);
+                    statesByCorrelation.put(entry.getKey(), now);
                     return List.of();
                 }
             }
-            return List.of(Fault.body("", Order.KEY, String.join(" or ", came) + " may not come here, but "
+            return List.of(Fault.inBody("", MessageOrder.EXTENSION_KEY, String.join(" or ", came) + " may not come here, but "
                 + (expected.isEmpty() ? "nothing more" : String.join(" or ", expected))));
         }
 
         /** What is wrong with a stream that ends here. */
-        List<Fault> end() {
+        List<Fault> validateEnd() {
             if (order != null) {
-                for (Set<String> state : states.values()) {
+                for (Set<String> state : statesByCorrelation.values()) {
                     if (!order.mayEnd(state)) {
-                        return List.of(Fault.body("", Order.KEY, "may not end after " + String.join(" or ", state)));
+                        return List.of(Fault.inBody("", MessageOrder.EXTENSION_KEY, "may not end after " + String.join(" or ", state)));
                     }
                 }
-                if (states.isEmpty()) {
-                    return List.of(Fault.body("", Order.KEY, "must begin with " + String.join(" or ",
-                        order.after(null))));
+                if (statesByCorrelation.isEmpty()) {
+                    return List.of(Fault.inBody("", MessageOrder.EXTENSION_KEY, "must begin with " + String.join(" or ",
+                        order.allowedAfter(null))));
                 }
             }
             return List.of();
         }
 
-        private List<Fault> judge(Message message, JsonNode value, long steps) {
+        private List<Fault> validateMessage(Message message, JsonNode value, long steps) {
             List<Fault> faults = message.payload() == null ? List.of()
-                : message.payload().judge(value, way, "body", "", steps);
-            if (faults.isEmpty() && message.correlation() != null && Json.at(value, message.correlation()) == null) {
-                return List.of(Fault.body("", "correlationId", "must have a correlation id at /"
-                    + String.join("/", message.correlation())));
+                : message.payload().validate(value, direction, "body", "", steps);
+            if (faults.isEmpty() && message.correlationIdPath() != null && Json.valueAt(value, message.correlationIdPath()) == null) {
+                return List.of(Fault.inBody("", "correlationId", "must have a correlation id at /"
+                    + String.join("/", message.correlationIdPath())));
             }
             if (faults.isEmpty() && message.headers() != null) {
-                return message.headers().judge(headers(message), way, "header", "", steps);
+                return message.headers().validate(headers(message), direction, "header", "", steps);
             }
             return faults;
         }
@@ -188,7 +188,7 @@
         private JsonNode headers(Message message) {
             ObjectNode object = JsonNodeFactory.instance.objectNode();
             for (String name : message.headerNames()) {
-                List<String> values = headers.all(name);
+                List<String> values = headers.values(name);
                 if (!values.isEmpty()) {
                     object.put(name, String.join(", ", values));
                 }
@@ -196,8 +196,8 @@
             return object;
         }
 
-        private String correlation(Message message, JsonNode value) {
-            JsonNode at = message.correlation() == null ? null : Json.at(value, message.correlation());
+        private String correlationKey(Message message, JsonNode value) {
+            JsonNode at = message.correlationIdPath() == null ? null : Json.valueAt(value, message.correlationIdPath());
             return at == null ? "" : at.getNodeType().name().toLowerCase(Locale.ROOT) + ' ' + at;
         }
     }
--- a/src/main/java/badgermux/contract/Formats.java
+++ b/src/main/java/badgermux/contract/OpenApiFormats.java
@@ -8,14 +8,14 @@
 import tools.jackson.databind.JsonNode;
 
 /** The formats of OpenAPI's own registry that the validator does not know: of numbers, and of bytes as text. */
-final class Formats {
-    private Formats() { }
+final class OpenApiFormats {
+    private OpenApiFormats() { }
 
     private interface Check {
         boolean passes(JsonNode value);
     }
 
-    private record Simple(String name, Check check) implements Format {
+    private record ValueFormat(String name, Check check) implements Format {
         @Override public String getName() {
             return name;
         }
@@ -27,9 +27,9 @@
 
     static List<Format> all() {
         return List.of(
-            new Simple("int32", value -> !value.isNumber() || value.canConvertToInt()),
-            new Simple("int64", value -> !value.isNumber() || value.canConvertToLong()),
-            new Simple("byte", value -> !value.isString() || isBase64(value.stringValue())));
+            new ValueFormat("int32", value -> !value.isNumber() || value.canConvertToInt()),
+            new ValueFormat("int64", value -> !value.isNumber() || value.canConvertToLong()),
+            new ValueFormat("byte", value -> !value.isString() || isBase64(value.stringValue())));
     }
 
     private static boolean isBase64(String text) {
--- a/src/main/java/badgermux/contract/Parameter.java
+++ b/src/main/java/badgermux/contract/Parameter.java
@@ -20,26 +20,26 @@
  * @param required whether it must be there
  * @param style    OpenAPI's word
  * @param explode  whether arrays and objects are written part by part
- * @param json     whether the text is JSON, by {@code content}
- * @param shape    what the schema asks for
+ * @param jsonEncoded     whether the text is JSON, by {@code content}
+ * @param expectedType    what the schema asks for
  * @param schema   the schema; null for none
  */
-record Parameter(String name, String in, boolean required, String style, boolean explode, boolean json, Shape shape,
-        Schemas.Compiled schema) {
+record Parameter(String name, String in, boolean required, String style, boolean explode, boolean jsonEncoded, ExpectedType expectedType,
+        SchemaCompiler.CompiledSchema schema) {
     /** Which styles go with which place. */
-    static final Map<String, Set<String>> STYLES = Map.of("path", Set.of("simple", "label", "matrix"),
+    static final Map<String, Set<String>> STYLES_BY_LOCATION = Map.of("path", Set.of("simple", "label", "matrix"),
         "query", Set.of("form", "spaceDelimited", "pipeDelimited", "deepObject"), "header", Set.of("simple"),
         "cookie", Set.of("form"));
     private static final int MAX_PARTS = 1_000;
 
     /** Judges a path parameter's text. */
-    void path(String text, List<Fault> faults, long steps) throws Unreadable {
+    void validatePathValue(String text, List<Fault> faults, long steps) throws SyntaxException {
         String value = text;
         String[] parts;
         switch (style) {
             case "label" -> {
                 if (!text.startsWith(".")) {
-                    faults.add(fault("style", "must begin with a dot"));
+                    faults.add(newFault("style", "must begin with a dot"));
                     return;
                 }
                 value = text.substring(1);
@@ -47,16 +47,16 @@
             }
             case "matrix" -> {
                 if (!text.startsWith(";")) {
-                    faults.add(fault("style", "must begin with a semicolon"));
+                    faults.add(newFault("style", "must begin with a semicolon"));
                     return;
                 }
                 value = text.substring(1);
                 parts = value.split(explode ? ";" : ",", -1);
                 String start = name + '=';
-                boolean pairs = explode && shape.isObject();
+                boolean pairs = explode && expectedType.isObject();
                 for (int i = 0; i < parts.length && !pairs && (explode || i == 0); i++) {
                     if (!parts[i].startsWith(start)) {
-                        faults.add(fault("style", "must name the parameter"));
+                        faults.add(newFault("style", "must name the parameter"));
                         return;
                     }
                     parts[i] = parts[i].substring(start.length());
@@ -65,83 +65,83 @@
             }
             default -> parts = text.split(",", -1);
         }
-        judge(value, List.of(parts), faults, steps);
+        validateText(value, List.of(parts), faults, steps);
     }
 
     /** Judges the values of a header, or of the pieces of a cookie of this name. */
-    void lines(List<String> values, List<Fault> faults, long steps) throws Unreadable {
+    void validateValues(List<String> values, List<Fault> faults, long steps) throws SyntaxException {
         if (values.isEmpty()) {
-            missing(faults);
+            checkRequired(faults);
             return;
         }
-        if (in.equals("cookie") && values.size() > 1 && !shape.isArray()) {
-            faults.add(fault("repeated", "must stand there once"));
+        if (in.equals("cookie") && values.size() > 1 && !expectedType.isArray()) {
+            faults.add(newFault("repeated", "must stand there once"));
             return;
         }
-        String text = in.equals("cookie") && !shape.isArray() ? values.get(0) : String.join(",", values);
-        String decoded = in.equals("cookie") ? Percent.decode(text) : text;
+        String text = in.equals("cookie") && !expectedType.isArray() ? values.get(0) : String.join(",", values);
+        String decoded = in.equals("cookie") ? PercentEncoding.decode(text) : text;
         List<String> parts = new ArrayList<>();
         for (String part : decoded.split(",", -1)) {
             parts.add(part.strip());
         }
-        judge(decoded, parts, faults, steps);
+        validateText(decoded, parts, faults, steps);
     }
 
     /** Judges what a query, or a form, holds of this parameter; {@code pairs} are decoded, {@code raw} are not. */
-    void query(List<Pair> pairs, List<Fault> faults, long steps) throws Unreadable {
+    void validateQuery(List<QueryPair> pairs, List<Fault> faults, long steps) throws SyntaxException {
         JsonNode[] read = new JsonNode[2];
-        if (!json && style.equals("deepObject")) {
-            read = deep(pairs, faults);
+        if (!jsonEncoded && style.equals("deepObject")) {
+            read = parseDeepObject(pairs, faults);
             if (read == null) {
                 return;
             }
-        } else if (!json && explode && shape.isObject()) {
-            read = members(pairs);
+        } else if (!jsonEncoded && explode && expectedType.isObject()) {
+            read = parseExplodedObject(pairs);
         } else {
-            List<Pair> own = pairs.stream().filter(pair -> pair.name().equals(name)).toList();
+            List<QueryPair> own = pairs.stream().filter(pair -> pair.name().equals(name)).toList();
             if (own.isEmpty()) {
-                missing(faults);
+                checkRequired(faults);
                 return;
             }
-            if (!json && explode && shape.isArray() && style.equals("form")) {
-                judge(own.get(0).value(), own.stream().map(Pair::value).toList(), faults, steps);
+            if (!jsonEncoded && explode && expectedType.isArray() && style.equals("form")) {
+                validateText(own.get(0).value(), own.stream().map(QueryPair::value).toList(), faults, steps);
                 return;
             }
             if (own.size() > 1) {
-                faults.add(fault("repeated", "must stand there once"));
+                faults.add(newFault("repeated", "must stand there once"));
                 return;
             }
             List<String> parts = new ArrayList<>();
             // The separator counts as it was written: one that came encoded belongs to a value.
             String separator = style.equals("spaceDelimited") ? "%20|\\+| " : style.equals("pipeDelimited")
                 ? "\\||%7[cC]" : ",";
-            for (String part : own.get(0).raw().split(separator, -1)) {
-                parts.add(Percent.decode(part, true));
+            for (String part : own.get(0).rawValue().split(separator, -1)) {
+                parts.add(PercentEncoding.decode(part, true));
             }
-            judge(own.get(0).value(), parts, faults, steps);
+            validateText(own.get(0).value(), parts, faults, steps);
             return;
         }
         if (read[0] == null) {
-            missing(faults);
+            checkRequired(faults);
         } else {
-            accept(read[0], read[1], faults, steps);
+            validateValue(read[0], read[1], faults, steps);
         }
     }
 
-    private void missing(List<Fault> faults) {
+    private void checkRequired(List<Fault> faults) {
         if (required) {
-            faults.add(fault("required", "must be given"));
+            faults.add(newFault("required", "must be given"));
         }
     }
 
-    private Fault fault(String keyword, String message) {
-        return new Fault(in, '/' + Json.step(name), keyword, message);
+    private Fault newFault(String keyword, String message) {
+        return new Fault(in, '/' + Json.escapeToken(name), keyword, message);
     }
 
     /** {@code name[member]=value}. */
-    private JsonNode[] deep(List<Pair> pairs, List<Fault> faults) {
+    private JsonNode[] parseDeepObject(List<QueryPair> pairs, List<Fault> faults) {
         Map<String, List<String>> found = new LinkedHashMap<>();
-        for (Pair pair : pairs) {
+        for (QueryPair pair : pairs) {
             if (pair.name().startsWith(name + '[') && pair.name().endsWith("]")) {
                 found.computeIfAbsent(pair.name().substring(name.length() + 1, pair.name().length() - 1),
                     n -> new ArrayList<>()).add(pair.value());
@@ -151,13 +151,13 @@
         for (int way = 0; way < 2 && !found.isEmpty(); way++) {
             ObjectNode object = JsonNodeFactory.instance.objectNode();
             for (Map.Entry<String, List<String>> member : found.entrySet()) {
-                Shape of = shape.member(member.getKey());
+                ExpectedType of = expectedType.property(member.getKey());
                 if (member.getValue().size() > 1 && !of.isArray()) {
-                    faults.add(fault("repeated", "must stand there once"));
+                    faults.add(newFault("repeated", "must stand there once"));
                     return null;
                 }
-                object.set(member.getKey(), of.isArray() ? array(of.items(), member.getValue(), way == 1)
-                    : of.value(member.getValue().get(0), way == 1));
+                object.set(member.getKey(), of.isArray() ? toArray(of.items(), member.getValue(), way == 1)
+                    : of.coerce(member.getValue().get(0), way == 1));
             }
             read[way] = object;
         }
@@ -165,13 +165,13 @@
     }
 
     /** An exploded object: its members stand among the other parameters. */
-    private JsonNode[] members(List<Pair> pairs) {
+    private JsonNode[] parseExplodedObject(List<QueryPair> pairs) {
         JsonNode[] read = new JsonNode[2];
         for (int way = 0; way < 2; way++) {
             ObjectNode object = JsonNodeFactory.instance.objectNode();
-            for (Pair pair : pairs) {
-                if (shape.names().contains(pair.name())) {
-                    object.set(pair.name(), shape.member(pair.name()).value(pair.value(), way == 1));
+            for (QueryPair pair : pairs) {
+                if (expectedType.propertyNames().contains(pair.name())) {
+                    object.set(pair.name(), expectedType.property(pair.name()).coerce(pair.value(), way == 1));
                 }
             }
             read[way] = object.isEmpty() ? null : object;
@@ -179,77 +179,77 @@
         return read;
     }
 
-    private void judge(String whole, List<String> parts, List<Fault> faults, long steps) throws Unreadable {
-        if (json) {
+    private void validateText(String whole, List<String> parts, List<Fault> faults, long steps) throws SyntaxException {
+        if (jsonEncoded) {
             JsonNode value;
             try {
-                value = Json.message(whole.getBytes(in.equals("header")
+                value = Json.parseMessage(whole.getBytes(in.equals("header")
                     ? java.nio.charset.StandardCharsets.ISO_8859_1 : java.nio.charset.StandardCharsets.UTF_8));
-            } catch (Unreadable e) {
-                throw new Unreadable(0, in + " parameter " + name + ": " + e.getMessage());
+            } catch (SyntaxException e) {
+                throw new SyntaxException(0, in + " parameter " + name + ": " + e.getMessage());
             }
-            accept(value, value, faults, steps);
+            validateValue(value, value, faults, steps);
         } else if (parts.size() > MAX_PARTS) {
-            faults.add(fault("maxItems", "must have " + MAX_PARTS + " parts or fewer"));
-        } else if (shape.isArray()) {
-            accept(array(shape.items(), parts, false), array(shape.items(), parts, true), faults, steps);
-        } else if (shape.isObject()) {
-            object(parts, faults, steps);
+            faults.add(newFault("maxItems", "must have " + MAX_PARTS + " parts or fewer"));
+        } else if (expectedType.isArray()) {
+            validateValue(toArray(expectedType.items(), parts, false), toArray(expectedType.items(), parts, true), faults, steps);
+        } else if (expectedType.isObject()) {
+            validateObject(parts, faults, steps);
         } else {
-            accept(shape.value(whole, false), shape.value(whole, true), faults, steps);
+            validateValue(expectedType.coerce(whole, false), expectedType.coerce(whole, true), faults, steps);
         }
     }
 
-    private void object(List<String> parts, List<Fault> faults, long steps) {
+    private void validateObject(List<String> parts, List<Fault> faults, long steps) {
         ObjectNode numbers = JsonNodeFactory.instance.objectNode();
         ObjectNode strings = JsonNodeFactory.instance.objectNode();
         for (int i = 0; i < parts.size(); i += explode ? 1 : 2) {
             int equals = explode ? parts.get(i).indexOf('=') : 0;
             if (equals < 0 || !explode && i + 1 >= parts.size()) {
-                faults.add(fault("style", "must be written in pairs of a name and a value"));
+                faults.add(newFault("style", "must be written in pairs of a name and a value"));
                 return;
             }
             String key = explode ? parts.get(i).substring(0, equals) : parts.get(i);
             String value = explode ? parts.get(i).substring(equals + 1) : parts.get(i + 1);
-            numbers.set(key, shape.member(key).value(value, false));
-            strings.set(key, shape.member(key).value(value, true));
+            numbers.set(key, expectedType.property(key).coerce(value, false));
+            strings.set(key, expectedType.property(key).coerce(value, true));
         }
-        accept(numbers, strings, faults, steps);
+        validateValue(numbers, strings, faults, steps);
     }
 
-    static ArrayNode array(Shape of, List<String> parts, boolean strings) {
+    static ArrayNode toArray(ExpectedType of, List<String> parts, boolean strings) {
         ArrayNode array = JsonNodeFactory.instance.arrayNode();
-        parts.forEach(part -> array.add(of.value(part, strings)));
+        parts.forEach(part -> array.add(of.coerce(part, strings)));
         return array;
     }
 
     /** Text that may be read in two ways conforms if one of them does. */
-    private void accept(JsonNode value, JsonNode other, List<Fault> faults, long steps) {
-        if (schema == null || value.isString() && schema.takesAnyString()) {
+    private void validateValue(JsonNode value, JsonNode other, List<Fault> faults, long steps) {
+        if (schema == null || value.isString() && schema.acceptsAnyString()) {
             return;
         }
-        List<Fault> found = schema.judge(value, Schemas.Way.REQUEST, in, '/' + Json.step(name), steps);
+        List<Fault> found = schema.validate(value, SchemaCompiler.Direction.REQUEST, in, '/' + Json.escapeToken(name), steps);
         if (!found.isEmpty() && !value.equals(other)) {
-            found = schema.conforms(other, Schemas.Way.REQUEST, steps) ? List.of() : found;
+            found = schema.conforms(other, SchemaCompiler.Direction.REQUEST, steps) ? List.of() : found;
         }
         faults.addAll(found);
     }
 
     /** A name and a value of a query or a form, decoded, and the value as it came. */
-    record Pair(String name, String value, String raw) {
+    record QueryPair(String name, String value, String rawValue) {
         private static final int MAX_PAIRS = 2_000;
 
-        static List<Pair> parse(String text) throws Unreadable {
-            List<Pair> pairs = new ArrayList<>();
+        static List<QueryPair> parse(String text) throws SyntaxException {
+            List<QueryPair> pairs = new ArrayList<>();
             for (String part : text.isEmpty() ? new String[0] : text.split("&", -1)) {
                 if (pairs.size() == MAX_PAIRS) {
-                    throw new Unreadable(0, "more than " + MAX_PAIRS + " pairs of a name and a value");
+                    throw new SyntaxException(0, "more than " + MAX_PAIRS + " pairs of a name and a value");
                 }
                 if (!part.isEmpty()) {
                     int equals = part.indexOf('=');
                     String raw = equals < 0 ? "" : part.substring(equals + 1);
-                    pairs.add(new Pair(Percent.decode(equals < 0 ? part : part.substring(0, equals), true),
-                        Percent.decode(raw, true), raw));
+                    pairs.add(new QueryPair(PercentEncoding.decode(equals < 0 ? part : part.substring(0, equals), true),
+                        PercentEncoding.decode(raw, true), raw));
                 }
             }
             return pairs;
@@ -257,7 +257,7 @@
     }
 
     /** The pieces of all Cookie lines that have this name. */
-    static List<String> cookies(List<String> lines, String name) {
+    static List<String> cookieValues(List<String> lines, String name) {
         List<String> values = new ArrayList<>();
         for (String line : lines) {
             for (String piece : line.split(";")) {
--- a/src/main/java/badgermux/contract/ProblemJson.java
+++ b/src/main/java/badgermux/contract/ProblemDetails.java
@@ -7,12 +7,12 @@
 import tools.jackson.databind.node.ObjectNode;
 
 /** A refusal as clients read it: {@code application/problem+json} (RFC 9457). */
-public final class ProblemJson {
+public final class ProblemDetails {
     /** The statuses that a judgement may bring, and their words. */
     private static final Map<Integer, String> TITLES = Map.of(400, "Bad Request", 404, "Not Found",
         405, "Method Not Allowed", 415, "Unsupported Media Type", 422, "Unprocessable Content");
 
-    private ProblemJson() { }
+    private ProblemDetails() { }
 
     /** The status's own words. */
     public static String title(int status) {
@@ -20,7 +20,7 @@
     }
 
     /** The body of a refusal; {@code revision} is that of the contracts which judged. */
-    public static byte[] of(Verdict verdict, long revision) {
+    public static byte[] encode(ValidationResult verdict, long revision) {
         ObjectNode problem = JsonNodeFactory.instance.objectNode();
         problem.put("type", "about:blank").put("title", title(verdict.status())).put("status", verdict.status());
         if (!verdict.faults().isEmpty()) {
@@ -32,12 +32,12 @@
             problem.put("description", verdict.description());
         }
         problem.put("revision", revision);
-        problem.set("faults", faults(verdict));
+        problem.set("faults", faultArray(verdict));
         return problem.toString().getBytes(StandardCharsets.UTF_8);
     }
 
     /** The faults as a list of objects; where one lies in the body, that goes without saying. */
-    public static ArrayNode faults(Verdict verdict) {
+    public static ArrayNode faultArray(ValidationResult verdict) {
         ArrayNode faults = JsonNodeFactory.instance.arrayNode();
         for (Fault fault : verdict.faults()) {
             ObjectNode each = faults.addObject().put("pointer", fault.pointer()).put("keyword", fault.keyword())
--- a/src/main/java/badgermux/contract/RouteTable.java
+++ b/src/main/java/badgermux/contract/RouteTable.java
@@ -20,18 +20,18 @@
     static final int MAX_SEGMENTS = 64;
 
     /** A route and the values of its parameters, in the order in which the template names them. */
-    record Match<T>(T route, List<String> values) { }
+    record Match<T>(T route, List<String> parameterValues) { }
 
     /** A segment with parameters in it; {@code whole} where it is one parameter and nothing else. */
-    private record Template<T>(String shape, Pattern pattern, Node<T> below) {
-        boolean whole() {
+    private record TemplateEdge<T>(String normalizedSegment, Pattern pattern, Node<T> child) {
+        boolean isWholeSegment() {
             return pattern == null;
         }
     }
 
     private static final class Node<T> {
-        private final Map<String, Node<T>> literals = new LinkedHashMap<>();
-        private final List<Template<T>> templates = new ArrayList<>();
+        private final Map<String, Node<T>> literalChildren = new LinkedHashMap<>();
+        private final List<TemplateEdge<T>> templateChildren = new ArrayList<>();
         private T route;
     }
 
@@ -42,7 +42,7 @@
     T put(String template, T route) {
         Node<T> at = root;
         for (String segment : template.substring(1).split("/", -1)) {
-            at = segment.indexOf('{') < 0 ? at.literals.computeIfAbsent(segment, s -> new Node<>()) : below(at, segment);
+            at = segment.indexOf('{') < 0 ? at.literalChildren.computeIfAbsent(segment, s -> new Node<>()) : templateChild(at, segment);
         }
         T known = at.route;
         if (known == null) {
@@ -56,11 +56,11 @@
         return size;
     }
 
-    private static <T> Node<T> below(Node<T> at, String segment) {
+    private static <T> Node<T> templateChild(Node<T> at, String segment) {
         String shape = segment.replaceAll("\\{[^}]*}", "{}");
-        for (Template<T> template : at.templates) {
-            if (template.shape.equals(shape)) {
-                return template.below;
+        for (TemplateEdge<T> template : at.templateChildren) {
+            if (template.normalizedSegment.equals(shape)) {
+                return template.child;
             }
         }
         StringBuilder pattern = new StringBuilder();
@@ -70,16 +70,16 @@
                 pattern.append("(?:)");
             }
         }
-        Template<T> made = new Template<>(shape,
+        TemplateEdge<T> made = new TemplateEdge<>(shape,
             shape.equals("{}") ? null : Pattern.compile(pattern.toString(), Pattern.DOTALL), new Node<>());
-        at.templates.add(made);
+        at.templateChildren.add(made);
         // Among templates, the one with the longest literal part is the most concrete.
-        at.templates.sort(Comparator.comparingInt((Template<T> t) -> -t.shape.length()));
-        return made.below;
+        at.templateChildren.sort(Comparator.comparingInt((TemplateEdge<T> t) -> -t.normalizedSegment.length()));
+        return made.child;
     }
 
     /** The names of a template's parameters. */
-    static List<String> names(String template) {
+    static List<String> parameterNames(String template) {
         List<String> names = new ArrayList<>();
         for (int open = template.indexOf('{'); open >= 0; open = template.indexOf('{', open + 1)) {
             int close = template.indexOf('}', open);
@@ -91,19 +91,19 @@
     /**
      * The route of a path; null where there is none.
      *
-     * @throws Unreadable for a path that readers may take for different ones
+     * @throws SyntaxException for a path that readers may take for different ones
      */
-    Match<T> find(String path) throws Unreadable {
+    Match<T> find(String path) throws SyntaxException {
         String[] raw = path.substring(1).split("/", -1);
         if (raw.length > MAX_SEGMENTS) {
-            throw new Unreadable(0, "the path has more than " + MAX_SEGMENTS + " segments");
+            throw new SyntaxException(0, "the path has more than " + MAX_SEGMENTS + " segments");
         }
         String[] segments = new String[raw.length];
         for (int i = 0; i < raw.length; i++) {
-            segments[i] = Percent.decode(raw[i]);
+            segments[i] = PercentEncoding.decode(raw[i]);
             // Guards against a path that a backend takes for another one once it has tidied it up.
             if (segments[i].equals(".") || segments[i].equals("..") || segments[i].indexOf('\0') >= 0) {
-                throw new Unreadable(0, "the path has a dot segment or a NUL");
+                throw new SyntaxException(0, "the path has a dot segment or a NUL");
             }
         }
         List<String> values = new ArrayList<>();
@@ -115,13 +115,13 @@
         if (depth == segments.length) {
             return at.route;
         }
-        Node<T> literal = at.literals.get(segments[depth]);
+        Node<T> literal = at.literalChildren.get(segments[depth]);
         T found = literal == null ? null : find(literal, segments, depth + 1, values);
         int before = values.size();
-        for (int i = 0; found == null && i < at.templates.size(); i++) {
-            Template<T> template = at.templates.get(i);
-            if (take(template, segments[depth], values)) {
-                found = find(template.below, segments, depth + 1, values);
+        for (int i = 0; found == null && i < at.templateChildren.size(); i++) {
+            TemplateEdge<T> template = at.templateChildren.get(i);
+            if (matchSegment(template, segments[depth], values)) {
+                found = find(template.child, segments, depth + 1, values);
             }
             if (found == null) {
                 values.subList(before, values.size()).clear();
@@ -131,8 +131,8 @@
     }
 
     /** A parameter is never empty: an empty segment is another path. */
-    private static <T> boolean take(Template<T> template, String segment, List<String> values) {
-        if (template.whole()) {
+    private static <T> boolean matchSegment(TemplateEdge<T> template, String segment, List<String> values) {
+        if (template.isWholeSegment()) {
             values.add(segment);
             return !segment.isEmpty();
         }
--- a/src/main/java/badgermux/contract/Schemas.java
+++ b/src/main/java/badgermux/contract/SchemaCompiler.java
@@ -29,36 +29,36 @@
  * a bounded number of steps; patterns run on RE2/J, whose time is linear in the text (Cox, "Regular Expression Matching
  * Can Be Simple And Fast", 2007).
  */
-final class Schemas {
+final class SchemaCompiler {
     /** Who sends the message: a request may not bring what is read-only, a response not what is write-only. */
-    enum Way { REQUEST, RESPONSE, EVENT }
+    enum Direction { REQUEST, RESPONSE, EVENT }
 
     /** How many keywords one judgement may evaluate, at once and in all, and how deep they may nest. */
-    static final long FEW_STEPS = 4_000, MOST_STEPS = 400_000;
+    static final long MAX_QUICK_STEPS = 4_000, MAX_STEPS = 400_000;
     private static final int MAX_EVALUATION_DEPTH = 400;
     /** Guards against a pattern whose automaton alone fills the heap. */
-    private static final int MAX_PATTERN = 2_000;
+    private static final int MAX_PATTERN_LENGTH = 2_000;
 
-    private static final Set<String> SAYS_NOTHING = Set.of("type", "title", "description", "example", "examples",
+    private static final Set<String> NON_RESTRICTING_KEYWORDS = Set.of("type", "title", "description", "example", "examples",
         "default", "deprecated", "nullable");
 
     /** One compiled schema. */
-    final class Compiled {
+    final class CompiledSchema {
         private final Schema schema;
         private final String pointer;
-        private final boolean anyString;
+        private final boolean acceptsAnyString;
 
-        private Compiled(Schema schema, String pointer) {
+        private CompiledSchema(Schema schema, String pointer) {
             this.schema = schema;
             this.pointer = pointer;
             JsonNode node = schema.getSchemaNode();
-            anyString = node.isObject() && node.has("type") && "string".equals(node.get("type").asString(""))
-                && SAYS_NOTHING.containsAll(node.propertyNames());
+            acceptsAnyString = node.isObject() && node.has("type") && "string".equals(node.get("type").asString(""))
+                && NON_RESTRICTING_KEYWORDS.containsAll(node.propertyNames());
         }
 
         /** Whether every string conforms: most parameters ask for no more, and the validator's set-up costs 1 us. */
-        boolean takesAnyString() {
-            return anyString;
+        boolean acceptsAnyString() {
+            return acceptsAnyString;
         }
 
         /** Where it stands in the bundle. */
@@ -66,140 +66,140 @@
             return pointer;
         }
 
-        /** The faults of a value, at most {@link Verdict#MAX_FAULTS}; {@code steps} bounds the work. */
-        List<Fault> judge(JsonNode value, Way way, String in, String prefix, long steps) {
-            ExecutionContext context = new ExecutionContext(config(way, steps));
-            context.setErrors(new Few());
+        /** The faults of a value, at most {@link ValidationResult#MAX_FAULTS}; {@code steps} bounds the work. */
+        List<Fault> validate(JsonNode value, Direction way, String in, String prefix, long steps) {
+            ExecutionContext context = new ExecutionContext(executionConfig(way, steps));
+            context.setErrors(new BoundedErrorList());
             try {
                 schema.validate(context, value);
                 if (context.isEvaluationAborted()) {
-                    throw new TooCostly();
+                    throw new StepLimitException();
                 }
             } catch (ValidationLimitExceededException | StackOverflowError e) {
-                throw new TooCostly();
+                throw new StepLimitException();
             }
             List<Fault> faults = new ArrayList<>();
             for (Error error : context.getErrors()) {
-                faults.add(new Fault(in, prefix + location(error.getInstanceLocation()), error.getKeyword(),
-                    Words.of(error)));
+                faults.add(new Fault(in, prefix + toPointer(error.getInstanceLocation()), error.getKeyword(),
+                    FaultMessages.describe(error)));
             }
             return faults;
         }
 
-        boolean conforms(JsonNode value, Way way, long steps) {
-            return judge(value, way, "", "", steps).isEmpty();
+        boolean conforms(JsonNode value, Direction way, long steps) {
+            return validate(value, way, "", "", steps).isEmpty();
         }
     }
 
     /** Keeps the first errors only: a long array of wrong items brings one for each. */
-    private static final class Few extends ArrayList<Error> {
+    private static final class BoundedErrorList extends ArrayList<Error> {
         private static final long serialVersionUID = 1L;
 
         @Override public boolean add(Error error) {
-            return size() < Verdict.MAX_FAULTS && super.add(error);
+            return size() < ValidationResult.MAX_FAULTS && super.add(error);
         }
     }
 
-    private final Bundle bundle;
+    private final DocumentBundle bundle;
     private final Schema root;
-    private final Map<String, Compiled> compiled = new HashMap<>();
-    private final Map<Way, ExecutionConfig> few = new HashMap<>();
-    private final Map<Way, ExecutionConfig> most = new HashMap<>();
+    private final Map<String, CompiledSchema> compiledSchemas = new HashMap<>();
+    private final Map<Direction, ExecutionConfig> quickConfigs = new HashMap<>();
+    private final Map<Direction, ExecutionConfig> fullConfigs = new HashMap<>();
 
     /** {@code wholeFractions}: whether 1.0 is an integer, as it is since draft 6 of JSON Schema. */
-    Schemas(Bundle bundle, Dialect dialect, boolean wholeFractions) {
+    SchemaCompiler(DocumentBundle bundle, Dialect dialect, boolean wholeFractions) {
         this.bundle = bundle;
         SchemaRegistryConfig config = SchemaRegistryConfig.builder().formatAssertionsEnabled(true).preloadSchema(false)
             .cacheRefs(true).losslessNarrowing(wholeFractions).locale(Locale.ROOT).pathType(PathType.JSON_POINTER)
             .messageSource((key, fallback, locale, arguments) -> "")
-            .regularExpressionFactory(Schemas::pattern).build();
+            .regularExpressionFactory(SchemaCompiler::compilePattern).build();
         // What a schema does not know, such as the description's own parts and extensions, has no say in it.
         Dialect quiet = Dialect.builder(dialect)
-            .unknownKeywordFactory((keyword, context) -> new NonValidationKeyword(keyword)).formats(Formats.all())
+            .unknownKeywordFactory((keyword, context) -> new NonValidationKeyword(keyword)).formats(OpenApiFormats.all())
             .build();
         SchemaRegistry registry = SchemaRegistry.withDefaultDialect(quiet, builder -> builder
             .schemaRegistryConfig(config)
             .schemaLoader(loader -> loader.resourceLoaders(loaders -> loaders.values(List::clear))));
         root = registry.getSchema(SchemaLocation.of("contract:/description"), bundle.root());
-        for (Way way : Way.values()) {
-            few.put(way, make(way, FEW_STEPS));
-            most.put(way, make(way, MOST_STEPS));
+        for (Direction way : Direction.values()) {
+            quickConfigs.put(way, newExecutionConfig(way, MAX_QUICK_STEPS));
+            fullConfigs.put(way, newExecutionConfig(way, MAX_STEPS));
         }
     }
 
-    private ExecutionConfig config(Way way, long steps) {
-        return steps == FEW_STEPS ? few.get(way) : steps == MOST_STEPS ? most.get(way) : make(way, steps);
+    private ExecutionConfig executionConfig(Direction way, long steps) {
+        return steps == MAX_QUICK_STEPS ? quickConfigs.get(way) : steps == MAX_STEPS ? fullConfigs.get(way) : newExecutionConfig(way, steps);
     }
 
-    private static ExecutionConfig make(Way way, long steps) {
+    private static ExecutionConfig newExecutionConfig(Direction way, long steps) {
         return ExecutionConfig.builder().locale(Locale.ROOT).formatAssertionsEnabled(true)
-            .readOnly(way == Way.REQUEST).writeOnly(way == Way.RESPONSE).maxEvaluationSteps(steps)
+            .readOnly(way == Direction.REQUEST).writeOnly(way == Direction.RESPONSE).maxEvaluationSteps(steps)
             .maxEvaluationDepth(MAX_EVALUATION_DEPTH).build();
     }
 
     /** Compiles the schema at a pointer, with all that it refers to. */
-    Compiled compile(String pointer) throws DescriptionException {
-        Compiled known = compiled.get(pointer);
+    CompiledSchema compile(String pointer) throws DescriptionException {
+        CompiledSchema known = compiledSchemas.get(pointer);
         if (known != null) {
             return known;
         }
         NodePath path = new NodePath(PathType.JSON_POINTER);
         JsonNode at = bundle.root();
-        for (String step : Json.steps(pointer)) {
+        for (String step : Json.pointerTokens(pointer)) {
             path = at.isArray() ? path.append(Integer.parseInt(step)) : path.append(step);
             at = at.isArray() ? at.get(Integer.parseInt(step)) : at.get(step);
         }
         if (at == null || !at.isObject() && !at.isBoolean()) {
-            throw new DescriptionException(bundle.problem(pointer, "a schema must be an object or true or false"));
+            throw new DescriptionException(bundle.problemAt(pointer, "a schema must be an object or true or false"));
         }
         try {
             Schema schema = root.getRefSchema(path);
             schema.initializeValidators();
-            Compiled made = new Compiled(schema, pointer);
-            made.judge(tools.jackson.databind.node.JsonNodeFactory.instance.nullNode(), Way.REQUEST, "", "",
-                MOST_STEPS);
-            compiled.put(pointer, made);
+            CompiledSchema made = new CompiledSchema(schema, pointer);
+            made.validate(tools.jackson.databind.node.JsonNodeFactory.instance.nullNode(), Direction.REQUEST, "", "",
+                MAX_STEPS);
+            compiledSchemas.put(pointer, made);
             return made;
-        } catch (TooCostly e) {
-            throw new DescriptionException(bundle.problem(pointer, "the schema refers to itself without an end"));
+        } catch (StepLimitException e) {
+            throw new DescriptionException(bundle.problemAt(pointer, "the schema refers to itself without an end"));
         } catch (RuntimeException e) {
             for (Throwable cause = e; cause != null; cause = cause.getCause()) {
-                if (cause instanceof BadPattern bad) {
-                    throw new DescriptionException(bundle.problem(bad.find(bundle, pointer), bad.getMessage()));
+                if (cause instanceof UnsupportedPatternException bad) {
+                    throw new DescriptionException(bundle.problemAt(bad.locate(bundle, pointer), bad.getMessage()));
                 }
             }
-            throw new DescriptionException(bundle.problem(pointer, "the schema can't be used: "
+            throw new DescriptionException(bundle.problemAt(pointer, "the schema can't be used: "
                 + String.valueOf(e.getMessage()).lines().findFirst().orElse("")));
         } catch (StackOverflowError e) {
-            throw new DescriptionException(bundle.problem(pointer, "the schema is nested too deep"));
+            throw new DescriptionException(bundle.problemAt(pointer, "the schema is nested too deep"));
         }
     }
 
-    Problem problem(String pointer, String reason) {
-        return bundle.problem(pointer, reason);
+    Problem problemAt(String pointer, String reason) {
+        return bundle.problemAt(pointer, reason);
     }
 
     /** A pattern that the linear engine can't take. */
-    private static final class BadPattern extends RuntimeException {
+    private static final class UnsupportedPatternException extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
         private final String pattern;
 
-        BadPattern(String pattern, String why) {
+        UnsupportedPatternException(String pattern, String why) {
             super("pattern can't be run in linear time, or is malformed: " + why, null, false, false);
             this.pattern = pattern;
         }
 
         /** Where it stands, looked for below a schema first. */
-        String find(Bundle in, String from) {
-            String found = find(in.at(from), from);
+        String locate(DocumentBundle in, String from) {
+            String found = locate(in.valueAt(from), from);
             if (found == null) {
-                found = find(in.root(), "");
+                found = locate(in.root(), "");
             }
             return found == null ? from : found;
         }
 
-        private String find(JsonNode node, String at) {
+        private String locate(JsonNode node, String at) {
             if (node == null) {
                 return null;
             }
@@ -210,16 +210,16 @@
                 }
                 for (Map.Entry<String, JsonNode> member : node.properties()) {
                     if (member.getKey().equals(pattern)) {
-                        return at + '/' + Json.step(pattern);
+                        return at + '/' + Json.escapeToken(pattern);
                     }
-                    String found = find(member.getValue(), at + '/' + Json.step(member.getKey()));
+                    String found = locate(member.getValue(), at + '/' + Json.escapeToken(member.getKey()));
                     if (found != null) {
                         return found;
                     }
                 }
             }
             for (int i = 0; node.isArray() && i < node.size(); i++) {
-                String found = find(node.get(i), at + '/' + i);
+                String found = locate(node.get(i), at + '/' + i);
                 if (found != null) {
                     return found;
                 }
@@ -229,24 +229,24 @@
     }
 
     /** ECMA 262's unicode escapes in RE2's form; all else is alike, or refused. */
-    private static RegularExpression pattern(String text) {
-        if (text.length() > MAX_PATTERN) {
-            throw new BadPattern(text, "longer than " + MAX_PATTERN + " characters");
+    private static RegularExpression compilePattern(String text) {
+        if (text.length() > MAX_PATTERN_LENGTH) {
+            throw new UnsupportedPatternException(text, "longer than " + MAX_PATTERN_LENGTH + " characters");
         }
         try {
             Pattern pattern = Pattern.compile(text.replaceAll("\\\\u([0-9a-fA-F]{4})", "\\\\x{$1}")
                 .replaceAll("\\\\u\\{([0-9a-fA-F]{1,6})}", "\\\\x{$1}"));
             return value -> pattern.matcher(value).find();
         } catch (PatternSyntaxException e) {
-            throw new BadPattern(text, e.getDescription());
+            throw new UnsupportedPatternException(text, e.getDescription());
         }
     }
 
     /** An instance's location as a pointer, each name cut to what may be sent back. */
-    private static String location(NodePath path) {
+    private static String toPointer(NodePath path) {
         StringBuilder text = new StringBuilder();
         for (int i = 0; i < path.getNameCount(); i++) {
-            text.append('/').append(Json.step(Fault.echo(String.valueOf(path.getElement(i)))));
+            text.append('/').append(Json.escapeToken(Fault.truncateName(String.valueOf(path.getElement(i)))));
         }
         return text.toString();
     }
--- a/src/main/java/badgermux/contract/TooCostly.java
+++ b/src/main/java/badgermux/contract/StepLimitException.java
@@ -1,10 +1,10 @@
 package badgermux.contract;
 
 /** A judgement took more steps than it may: nothing is known of the message. */
-public final class TooCostly extends RuntimeException {
+public final class StepLimitException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    TooCostly() {
+    StepLimitException() {
         super("the judgement takes more steps than it may", null, false, false);
     }
 }
--- a/src/main/java/badgermux/contract/Unreadable.java
+++ b/src/main/java/badgermux/contract/SyntaxException.java
@@ -1,12 +1,12 @@
 package badgermux.contract;
 
 /** Text that is no JSON or YAML, or passes a bound; {@link #line} counts from 1, 0 where it is not known. */
-final class Unreadable extends Exception {
+final class SyntaxException extends Exception {
     private static final long serialVersionUID = 1L;
 
     private final int line;
 
-    Unreadable(int line, String reason) {
+    SyntaxException(int line, String reason) {
         super(reason, null, false, false);
         this.line = line;
     }
--- a/src/main/java/badgermux/contract/Yaml.java
+++ b/src/main/java/badgermux/contract/Yaml.java
@@ -29,67 +29,67 @@
 final class Yaml {
     private static final JsonNodeFactory NODES = JsonNodeFactory.instance;
 
-    private int nodes;
+    private int valueCount;
 
     private Yaml() { }
 
-    static JsonNode document(byte[] bytes) throws Unreadable {
-        Json.text(bytes);
+    static JsonNode parseDocument(byte[] bytes) throws SyntaxException {
+        Json.decodeUtf8(bytes);
         Node root = compose(bytes);
-        return root == null ? NODES.nullNode() : new Yaml().value(root, 0);
+        return root == null ? NODES.nullNode() : new Yaml().readValue(root, 0);
     }
 
-    private static Node compose(byte[] bytes) throws Unreadable {
+    private static Node compose(byte[] bytes) throws SyntaxException {
         LoadSettings settings = LoadSettings.builder().setCodePointLimit(Document.MAX_BYTES).setSchema(new CoreSchema())
             .setMaxAliasesForCollections(1000).setAllowNonScalarKeys(false).build();
         try {
             return new Compose(settings).composeReader(
                 new InputStreamReader(new ByteArrayInputStream(bytes), StandardCharsets.UTF_8)).orElse(null);
         } catch (MarkedYamlEngineException e) {
-            throw new Unreadable(line(e.getProblemMark()), "malformed YAML: " + e.getProblem());
+            throw new SyntaxException(lineNumber(e.getProblemMark()), "malformed YAML: " + e.getProblem());
         } catch (YamlEngineException e) {
-            throw new Unreadable(0, "malformed YAML");
+            throw new SyntaxException(0, "malformed YAML");
         } catch (StackOverflowError e) {
-            throw new Unreadable(0, "nested too deep");
+            throw new SyntaxException(0, "nested too deep");
         }
     }
 
-    private static int line(Optional<Mark> mark) {
+    private static int lineNumber(Optional<Mark> mark) {
         return mark.map(m -> m.getLine() + 1).orElse(0);
     }
 
-    private JsonNode value(Node node, int depth) throws Unreadable {
-        int line = line(node.getStartMark());
+    private JsonNode readValue(Node node, int depth) throws SyntaxException {
+        int line = lineNumber(node.getStartMark());
         // Guards against aliases that unfold without end: each use counts.
-        if (++nodes > Document.MAX_NODES || depth > Document.MAX_DEPTH) {
-            throw new Unreadable(line, "nested too deep, or too many values");
+        if (++valueCount > Document.MAX_VALUES || depth > Document.MAX_DEPTH) {
+            throw new SyntaxException(line, "nested too deep, or too many values");
         }
         if (node instanceof MappingNode mapping) {
             ObjectNode object = NODES.objectNode();
             Set<String> names = new HashSet<>();
             for (NodeTuple tuple : mapping.getValue()) {
-                int at = line(tuple.getKeyNode().getStartMark());
+                int at = lineNumber(tuple.getKeyNode().getStartMark());
                 if (!(tuple.getKeyNode() instanceof ScalarNode key)) {
-                    throw new Unreadable(at, "a name is no scalar");
+                    throw new SyntaxException(at, "a name is no scalar");
                 }
                 if (!names.add(key.getValue())) {
-                    throw new Unreadable(at, "a name stands twice in one object: " + key.getValue());
+                    throw new SyntaxException(at, "a name stands twice in one object: " + key.getValue());
                 }
-                object.set(key.getValue(), value(tuple.getValueNode(), depth + 1));
+                object.set(key.getValue(), readValue(tuple.getValueNode(), depth + 1));
             }
             return object;
         }
         if (node instanceof SequenceNode sequence) {
             ArrayNode array = NODES.arrayNode();
             for (Node item : sequence.getValue()) {
-                array.add(value(item, depth + 1));
+                array.add(readValue(item, depth + 1));
             }
             return array;
         }
-        return scalar((ScalarNode) node, line);
+        return readScalar((ScalarNode) node, line);
     }
 
-    private static JsonNode scalar(ScalarNode node, int line) throws Unreadable {
+    private static JsonNode readScalar(ScalarNode node, int line) throws SyntaxException {
         String text = node.getValue();
         Tag tag = node.getTag();
         if (tag.equals(Tag.NULL)) {
@@ -97,19 +97,19 @@
         } else if (tag.equals(Tag.BOOL)) {
             return NODES.booleanNode(text.equalsIgnoreCase("true"));
         } else if (tag.equals(Tag.INT)) {
-            return integer(text, line);
+            return readInteger(text, line);
         } else if (tag.equals(Tag.FLOAT)) {
-            return Json.number(text, line);
+            return Json.parseNumber(text, line);
         } else if (tag.equals(Tag.STR)) {
             return NODES.stringNode(text);
         }
-        throw new Unreadable(line, "a tag that JSON does not know: " + tag.getValue());
+        throw new SyntaxException(line, "a tag that JSON does not know: " + tag.getValue());
     }
 
-    private static JsonNode integer(String text, int line) throws Unreadable {
+    private static JsonNode readInteger(String text, int line) throws SyntaxException {
         int radix = text.startsWith("0x") ? 16 : text.startsWith("0o") ? 8 : 10;
-        if (text.length() > Json.MAX_NUMBER) {
-            throw new Unreadable(line, "a number is out of bounds");
+        if (text.length() > Json.MAX_NUMBER_LENGTH) {
+            throw new SyntaxException(line, "a number is out of bounds");
         }
         BigInteger value = new BigInteger(radix == 10 ? text : text.substring(2), radix);
         return value.bitLength() < 32 ? NODES.numberNode(value.intValue())
@@ -127,13 +127,13 @@
                     for (NodeTuple tuple : mapping.getValue()) {
                         if (tuple.getKeyNode() instanceof ScalarNode key && key.getValue().equals(step)) {
                             next = tuple.getValueNode();
-                            line = line(key.getStartMark());
+                            line = lineNumber(key.getStartMark());
                         }
                     }
                 } else if (at instanceof SequenceNode sequence && step.matches("[0-9]{1,8}")
                         && Integer.parseInt(step) < sequence.getValue().size()) {
                     next = sequence.getValue().get(Integer.parseInt(step));
-                    line = line(next.getStartMark());
+                    line = lineNumber(next.getStartMark());
                 }
                 if (next == null) {
                     return line;
@@ -141,7 +141,7 @@
                 at = next;
             }
             return line;
-        } catch (Unreadable e) {
+        } catch (SyntaxException e) {
             return line;
         }
     }
--- a/src/main/java/badgermux/core/AfterInput.java
+++ b/src/main/java/badgermux/core/AfterInputExecutor.java
@@ -10,7 +10,7 @@
  * stands in the queue behind those of connections that were read earlier in the round; so a task that is to come behind all
  * of them is put into the queue from a task.
  */
-public final class AfterInput implements Executor {
+public final class AfterInputExecutor implements Executor {
     private final Executor eventLoop;
 
     /**
@@ -18,7 +18,7 @@
      *
      * @param eventLoop runs tasks one after another, in the order in which they came
      */
-    public AfterInput(Executor eventLoop) {
+    public AfterInputExecutor(Executor eventLoop) {
         this.eventLoop = eventLoop;
     }
 
--- a/src/main/java/badgermux/core/Outbound.java
+++ b/src/main/java/badgermux/core/BackendClient.java
@@ -6,9 +6,9 @@
  *
  * @param <P> what a request carries; the engine does not look into it
  */
-public interface Outbound<P> {
+public interface BackendClient<P> {
     /** Starts an attempt, which the engine ends itself at {@code limit}. */
-    void attempt(long attempt, long backend, P payload, long limit);
+    void startAttempt(long attempt, long backend, P payload, long limit);
 
     /** Gives an attempt up; nothing more is told of it. */
     void abort(long attempt);
@@ -19,9 +19,9 @@
      */
     boolean withdraw(long attempt);
 
-    /** Asks a backend for its load; answered once by {@link Engine#probed}. */
+    /** Asks a backend for its load; answered once by {@link Engine#probeEnded}. */
     void probe(long backend);
 
     /** Closes idle connections. */
-    void release(long backend);
+    void closeIdleConnections(long backend);
 }
--- a/src/main/java/badgermux/core/Clock.java
+++ b/src/main/java/badgermux/core/Clock.java
@@ -5,11 +5,11 @@
  * it as it is, and runs on the monotonic clock from there.
  */
 public final class Clock {
-    private final long wallAtStart = System.currentTimeMillis() * 1000;
+    private final long wallMicrosAtStart = System.currentTimeMillis() * 1000;
     private final long nanosAtStart = System.nanoTime();
 
-    public long now() {
-        return wallAtStart + (System.nanoTime() - nanosAtStart) / 1000;
+    public long nowMicros() {
+        return wallMicrosAtStart + (System.nanoTime() - nanosAtStart) / 1000;
     }
 
     /** A time on this clock as Unix time in milliseconds. */
--- a/src/main/java/badgermux/core/Deadlines.java
+++ b/src/main/java/badgermux/core/Deadlines.java
@@ -10,18 +10,18 @@
 public final class Deadlines {
     /** Something to be done at a time, unless it is cancelled first. */
     public static final class Deadline implements Comparable<Deadline> {
-        private final long at;
-        private final long order;
-        private final Runnable what;
+        private final long dueAt;
+        private final long sequence;
+        private final Runnable task;
 
         private Deadline(long at, long order, Runnable what) {
-            this.at = at;
-            this.order = order;
-            this.what = what;
+            this.dueAt = at;
+            this.sequence = order;
+            this.task = what;
         }
 
         @Override public int compareTo(Deadline other) {
-            return at != other.at ? Long.compare(at, other.at) : Long.compare(order, other.order);
+            return dueAt != other.dueAt ? Long.compare(dueAt, other.dueAt) : Long.compare(sequence, other.sequence);
         }
     }
 
@@ -31,18 +31,18 @@
     }
 
     /** A deadline that runs so much late tells of a standstill, in microseconds. */
-    private static final long NOTICEABLE = 20_000;
+    private static final long STALL_THRESHOLD_MICROS = 20_000;
     /** What falls due so much later runs behind the next round of input, in microseconds. */
-    private static final long NEXT_ROUND = 1_000;
+    private static final long NEXT_ROUND_DELAY_MICROS = 1_000;
 
     private final TreeSet<Deadline> pending = new TreeSet<>();
     private final LongSupplier clock;
     private final Alarm alarm;
     private final Metrics metrics;
     private long alarmAt = Long.MAX_VALUE;
-    private long order;
+    private long nextSequence;
     /** When the deadline fell due that ran last behind a standstill; cleared behind the next round of input. */
-    private long lateSince = Long.MAX_VALUE;
+    private long stalledSince = Long.MAX_VALUE;
 
     public Deadlines(LongSupplier clock, Alarm alarm, Metrics metrics) {
         this.clock = clock;
@@ -50,14 +50,14 @@
         this.metrics = metrics;
     }
 
-    public Deadline after(long delay, Runnable what) {
-        return at(clock.getAsLong() + Math.max(0, delay), what);
+    public Deadline scheduleAfter(long delay, Runnable what) {
+        return scheduleAt(clock.getAsLong() + Math.max(0, delay), what);
     }
 
-    public Deadline at(long at, Runnable what) {
-        Deadline deadline = new Deadline(at, order++, what);
+    public Deadline scheduleAt(long at, Runnable what) {
+        Deadline deadline = new Deadline(at, nextSequence++, what);
         pending.add(deadline);
-        setAlarm();
+        updateAlarm();
         return deadline;
     }
 
@@ -73,46 +73,46 @@
      * is read now may have come as long ago. A standstill is seen in full only as far as some deadline fell due at its
      * beginning.
      */
-    public long lateness() {
-        long dueSince = pending.isEmpty() ? Long.MAX_VALUE : pending.first().at;
-        return Math.max(0, clock.getAsLong() - Math.min(dueSince, lateSince));
+    public long stallMicros() {
+        long dueSince = pending.isEmpty() ? Long.MAX_VALUE : pending.first().dueAt;
+        return Math.max(0, clock.getAsLong() - Math.min(dueSince, stalledSince));
     }
 
     /** Runs what is due, in order; what falls due meanwhile waits for the next alarm. */
     public void runDue() {
         alarmAt = Long.MAX_VALUE;
         long now = clock.getAsLong();
-        if (!pending.isEmpty() && now - pending.first().at > NOTICEABLE) {
-            rememberLateness(now);
+        if (!pending.isEmpty() && now - pending.first().dueAt > STALL_THRESHOLD_MICROS) {
+            recordStall(now);
         }
         try {
-            while (!pending.isEmpty() && pending.first().at <= now) {
-                run(pending.pollFirst());
+            while (!pending.isEmpty() && pending.first().dueAt <= now) {
+                runTask(pending.pollFirst());
             }
         } finally {
-            setAlarm();
+            updateAlarm();
         }
     }
 
     /** Until the next round of input has been read: what came during the standstill is read there. */
-    private void rememberLateness(long now) {
-        lateSince = Math.min(lateSince, pending.first().at);
-        at(now + NEXT_ROUND, () -> lateSince = Long.MAX_VALUE);
+    private void recordStall(long now) {
+        stalledSince = Math.min(stalledSince, pending.first().dueAt);
+        scheduleAt(now + NEXT_ROUND_DELAY_MICROS, () -> stalledSince = Long.MAX_VALUE);
     }
 
     /** Guards against one fault that takes all later deadlines with it; errors, too, such as a stack that overflows. */
-    private void run(Deadline due) {
+    private void runTask(Deadline due) {
         try {
-            due.what.run();
+            due.task.run();
         } catch (RuntimeException | Error e) {
-            metrics.add(Count.EXCEPTIONS);
+            metrics.increment(Count.EXCEPTIONS);
             Logger.error(e, "exception at a deadline");
         }
     }
 
-    private void setAlarm() {
-        if (!pending.isEmpty() && pending.first().at < alarmAt) {
-            alarmAt = pending.first().at;
+    private void updateAlarm() {
+        if (!pending.isEmpty() && pending.first().dueAt < alarmAt) {
+            alarmAt = pending.first().dueAt;
             alarm.set(alarmAt);
         }
     }
--- a/src/main/java/badgermux/core/SlotTable.java
+++ b/src/main/java/badgermux/core/HandleTable.java
@@ -9,38 +9,38 @@
  * Numbered slots, each with a generation. A handle names a slot and the generation it was given in, so that an event
  * that comes after its entry has left finds nothing, not the entry that took the slot over.
  */
-public final class SlotTable<T> {
-    private static final int SLOT_BITS = 20;
-    private static final long SLOT_MASK = (1L << SLOT_BITS) - 1;
+public final class HandleTable<T> {
+    private static final int INDEX_BITS = 20;
+    private static final long INDEX_MASK = (1L << INDEX_BITS) - 1;
 
     private final List<T> entries = new ArrayList<>();
     private final List<Long> generations = new ArrayList<>();
-    private int[] free = new int[64];
-    private int freeCount;
+    private int[] freeIndexes = new int[64];
+    private int freeIndexCount;
     private int size;
 
     /** Puts an entry into a free slot and returns its handle, which is positive and under 2^52. */
     public long add(T entry) {
         int slot;
-        if (freeCount > 0) {
-            slot = free[--freeCount];
+        if (freeIndexCount > 0) {
+            slot = freeIndexes[--freeIndexCount];
             entries.set(slot, entry);
         } else {
             slot = entries.size();
-            if (slot > SLOT_MASK) {
+            if (slot > INDEX_MASK) {
                 throw new IllegalStateException("all " + slot + " slots are taken");
             }
             entries.add(entry);
             generations.add(1L);
         }
         size++;
-        return generations.get(slot) << SLOT_BITS | slot;
+        return generations.get(slot) << INDEX_BITS | slot;
     }
 
     /** The entry, or null if it has left. */
     public T get(long handle) {
-        int slot = (int) (handle & SLOT_MASK);
-        boolean current = slot < entries.size() && generations.get(slot) == handle >>> SLOT_BITS;
+        int slot = (int) (handle & INDEX_MASK);
+        boolean current = slot < entries.size() && generations.get(slot) == handle >>> INDEX_BITS;
         return current ? entries.get(slot) : null;
     }
 
@@ -50,24 +50,24 @@
         if (entry == null) {
             return null;
         }
-        int slot = (int) (handle & SLOT_MASK);
+        int slot = (int) (handle & INDEX_MASK);
         entries.set(slot, null);
         generations.set(slot, generations.get(slot) + 1);
-        if (freeCount == free.length) {
-            free = Arrays.copyOf(free, 2 * freeCount);
+        if (freeIndexCount == freeIndexes.length) {
+            freeIndexes = Arrays.copyOf(freeIndexes, 2 * freeIndexCount);
         }
-        free[freeCount++] = slot;
+        freeIndexes[freeIndexCount++] = slot;
         size--;
         return entry;
     }
 
     /** The handles of the first entries for which {@code which} holds, in the order of their slots, {@code most} at most. */
-    public List<Long> handles(Predicate<T> which, int most) {
+    public List<Long> findHandles(Predicate<T> filter, int limit) {
         List<Long> handles = new ArrayList<>();
-        for (int slot = 0; slot < entries.size() && handles.size() < most; slot++) {
+        for (int slot = 0; slot < entries.size() && handles.size() < limit; slot++) {
             T entry = entries.get(slot);
-            if (entry != null && which.test(entry)) {
-                handles.add(generations.get(slot) << SLOT_BITS | slot);
+            if (entry != null && filter.test(entry)) {
+                handles.add(generations.get(slot) << INDEX_BITS | slot);
             }
         }
         return handles;
--- a/src/main/java/badgermux/core/Names.java
+++ b/src/main/java/badgermux/core/Names.java
@@ -8,17 +8,17 @@
     private Names() { }
 
     /** A name as settings write it; null stays null. Guards against one that is never found since it was told otherwise. */
-    public static String plain(String name) {
+    public static String normalize(String name) {
         return name == null ? null : name.replace(' ', '_').replace(',', '_');
     }
 
     /** The place of a name in a list of plain ones; -1 where it is null or not there. */
     public static int indexOf(List<String> plain, String name) {
-        return name == null ? -1 : plain.indexOf(plain(name));
+        return name == null ? -1 : plain.indexOf(normalize(name));
     }
 
     /** The first name that stands there twice, as settings write them; null where there is none. */
-    public static String twice(List<String> plain) {
+    public static String firstDuplicate(List<String> plain) {
         return plain.stream().filter(name -> plain.indexOf(name) != plain.lastIndexOf(name)).findFirst().orElse(null);
     }
 
--- a/src/main/java/badgermux/decide/ColdSendLedger.java
+++ b/src/main/java/badgermux/decide/ColdSendLedger.java
@@ -1,6 +1,6 @@
 package badgermux.decide;
 
-import badgermux.decide.Dispatch.Push;
+import badgermux.decide.DispatchPolicy.SentWork;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -12,8 +12,8 @@
  * listed later. Times are microseconds on the caller's clock, work is microseconds of a slot. Used by one thread.
  */
 final class ColdSendLedger {
-    private final Map<Long, List<Push>> sends = new HashMap<>();
-    private double allowed;
+    private final Map<Long, List<SentWork>> sends = new HashMap<>();
+    private double allowedSlotMicros;
     private double used;
 
     /**
@@ -22,29 +22,29 @@
      * @param push the send; one whose work is not known has work 0
      * @param cold whether the worker is known to be cold, so that it counts as use of what was allowed
      */
-    void record(Push push, boolean cold) {
-        sends.computeIfAbsent(push.worker(), id -> new ArrayList<>(1)).add(push);
-        used += cold ? push.work() : 0;
+    void record(SentWork push, boolean cold) {
+        sends.computeIfAbsent(push.backendId(), id -> new ArrayList<>(1)).add(push);
+        used += cold ? push.slotMicros() : 0;
     }
 
     /** The part, 1 at most, that was used lately of what was allowed; {@code job} is the work of one job. */
     double used(double job) {
-        return Math.min(1, (used + job) / (allowed + job));
+        return Math.min(1, (used + job) / (allowedSlotMicros + job));
     }
 
     /** The work sent to a worker later than {@code after}; a send of unknown work counts as {@code unknown}. */
-    double work(long worker, long after, double unknown) {
+    double slotMicrosSince(long worker, long after, double unknown) {
         double sum = 0;
-        for (Push push : sends.getOrDefault(worker, List.of())) {
-            double work = push.work() > 0 ? push.work() : unknown;
-            sum += push.at() > after ? work : 0;
+        for (SentWork push : sends.getOrDefault(worker, List.of())) {
+            double work = push.slotMicros() > 0 ? push.slotMicros() : unknown;
+            sum += push.sentAtMicros() > after ? work : 0;
         }
         return sum;
     }
 
     /** All sends later than {@code after}, in no particular order. */
-    List<Push> later(long after) {
-        return sends.values().stream().flatMap(List::stream).filter(push -> push.at() > after).toList();
+    List<SentWork> sendsSince(long after) {
+        return sends.values().stream().flatMap(List::stream).filter(push -> push.sentAtMicros() > after).toList();
     }
 
     /**
@@ -54,10 +54,10 @@
      * @param more  what might have been sent to cold workers since the round before
      * @param fades the part of what was allowed and used before that is left out from now on
      */
-    void round(long until, double more, double fades) {
-        sends.values().forEach(of -> of.removeIf(push -> push.at() <= until));
+    void expire(long until, double more, double fades) {
+        sends.values().forEach(of -> of.removeIf(push -> push.sentAtMicros() <= until));
         sends.values().removeIf(List::isEmpty);
-        allowed = (allowed + more) * (1 - fades);
+        allowedSlotMicros = (allowedSlotMicros + more) * (1 - fades);
         used -= used * fades;
     }
 }
--- a/src/main/java/badgermux/discovery/ListDecoder.java
+++ b/src/main/java/badgermux/discovery/BackendListCodec.java
@@ -10,15 +10,15 @@
 import java.util.List;
 
 /** Decodes discovery's list. */
-public final class ListDecoder {
+public final class BackendListCodec {
     /** An answer of discovery; fields that did not come are null or 0. */
-    public static final class Listing {
+    public static final class BackendList {
         long revision;
         boolean complete;
         List<Member> members = List.of();
 
         /** The newer of two lists. */
-        public static Listing newer(Listing one, Listing other) {
+        public static BackendList newer(BackendList one, BackendList other) {
             return one.revision > other.revision ? one : other;
         }
     }
@@ -34,12 +34,12 @@
         double upSinceMs;
     }
 
-    private ListDecoder() { }
+    private BackendListCodec() { }
 
     /** The listing; an exception where the text is none. Read by hand: reflection costs a fresh process 30 ms. */
-    public static Listing decode(String json) {
+    public static BackendList decode(String json) {
         try {
-            return listing(JsonParser.parseString(json).getAsJsonObject());
+            return decodeList(JsonParser.parseString(json).getAsJsonObject());
         } catch (IllegalStateException | UnsupportedOperationException | NumberFormatException e) {
             throw new JsonParseException("no list of members: " + e.getMessage());
         }
@@ -66,32 +66,32 @@
         return list;
     }
 
-    private static Listing listing(JsonObject from) {
-        Listing listing = new Listing();
+    private static BackendList decodeList(JsonObject from) {
+        BackendList listing = new BackendList();
         listing.revision = from.has("revision") ? from.get("revision").getAsLong() : 0;
         listing.complete = from.has("complete") && from.get("complete").getAsBoolean();
         listing.members = new ArrayList<>();
         if (from.has("members")) {
             for (JsonElement member : from.get("members").getAsJsonArray()) {
-                listing.members.add(member.isJsonNull() ? null : member(member.getAsJsonObject()));
+                listing.members.add(member.isJsonNull() ? null : decodeMember(member.getAsJsonObject()));
             }
         }
         return listing;
     }
 
-    private static Member member(JsonObject from) {
+    private static Member decodeMember(JsonObject from) {
         Member member = new Member();
-        member.id = text(from, "id");
-        member.hostPort = text(from, "host_port");
-        member.locality = text(from, "locality");
-        member.flavor = text(from, "flavor");
-        member.phase = text(from, "phase");
+        member.id = textOrNull(from, "id");
+        member.hostPort = textOrNull(from, "host_port");
+        member.locality = textOrNull(from, "locality");
+        member.flavor = textOrNull(from, "flavor");
+        member.phase = textOrNull(from, "phase");
         member.cell = from.has("cell") ? from.get("cell").getAsInt() : 0;
         member.upSinceMs = from.has("up_since_ms") ? from.get("up_since_ms").getAsDouble() : 0;
         return member;
     }
 
-    private static String text(JsonObject from, String key) {
+    private static String textOrNull(JsonObject from, String key) {
         JsonElement value = from.get(key);
         return value == null || value.isJsonNull() ? null : value.getAsString();
     }
--- a/src/main/java/badgermux/front/FailedAccepts.java
+++ b/src/main/java/badgermux/front/AcceptFailureHandler.java
@@ -8,19 +8,19 @@
  * accepting for a whole second, in which requests that the system let in lie unread, and go on accepting then whatever the
  * front wants.
  */
-final class FailedAccepts extends ChannelInboundHandlerAdapter {
-    private final Runnable pause;
+final class AcceptFailureHandler extends ChannelInboundHandlerAdapter {
+    private final Runnable pauseAccepting;
 
     /**
      * Makes one for a listener.
      *
      * @param pause stops accepting for a moment; called on the event loop
      */
-    FailedAccepts(Runnable pause) {
-        this.pause = pause;
+    AcceptFailureHandler(Runnable pause) {
+        this.pauseAccepting = pause;
     }
 
     @Override public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        pause.run();
+        pauseAccepting.run();
     }
 }
--- a/src/main/java/badgermux/front/ShutdownAnswers.java
+++ b/src/main/java/badgermux/front/FinalAnswerScheduler.java
@@ -12,22 +12,22 @@
  * sooner it begins; and it goes on in small batches, between which the event loop reads and writes. What an answer costs is
  * measured as it goes.
  */
-final class ShutdownAnswers {
+final class FinalAnswerScheduler {
     /** How many requests are answered at once. */
-    static final int BATCH = 8;
+    static final int BATCH_SIZE = 8;
     /** What an answer is taken to cost before one has been measured: four times what it costs on a whole core, in microseconds. */
-    static final long FIRST_COST = 5_000;
+    static final long INITIAL_COST_MICROS = 5_000;
     /** How often what is open is counted anew, in microseconds. */
-    private static final long CHECK = 50_000;
+    private static final long CHECK_INTERVAL_MICROS = 50_000;
 
     private final Deadlines deadlines;
     private final LongSupplier clock;
-    private final IntSupplier open;
-    private final IntConsumer answer;
-    private final long earliest;
-    private final long due;
-    private long cost = FIRST_COST;
-    private boolean begun;
+    private final IntSupplier openRequests;
+    private final IntConsumer answerRequests;
+    private final long earliestMicros;
+    private final long dueMicros;
+    private long costMicros = INITIAL_COST_MICROS;
+    private boolean hasBegun;
 
     /**
      * Makes it; {@link #start} sets it going.
@@ -38,41 +38,41 @@
      * @param earliest no last answer is given before, however many are open
      * @param due      when all are to be out
      */
-    ShutdownAnswers(Deadlines deadlines, LongSupplier clock, IntSupplier open, IntConsumer answer, long earliest, long due) {
+    FinalAnswerScheduler(Deadlines deadlines, LongSupplier clock, IntSupplier open, IntConsumer answer, long earliest, long due) {
         this.deadlines = deadlines;
         this.clock = clock;
-        this.open = open;
-        this.answer = answer;
-        this.earliest = earliest;
-        this.due = due;
+        this.openRequests = open;
+        this.answerRequests = answer;
+        this.earliestMicros = earliest;
+        this.dueMicros = due;
     }
 
     /** Counts what is open until it is time, and answers it then. */
     void start() {
-        long begin = Math.max(earliest, due - open.getAsInt() * cost);
+        long begin = Math.max(earliestMicros, dueMicros - openRequests.getAsInt() * costMicros);
         long now = clock.getAsLong();
         if (now < begin) {
-            deadlines.at(Math.min(begin, now + CHECK), this::start);
+            deadlines.scheduleAt(Math.min(begin, now + CHECK_INTERVAL_MICROS), this::start);
             return;
         }
-        begun = true;
+        hasBegun = true;
         answerBatch();
     }
 
     private void answerBatch() {
-        int before = open.getAsInt();
-        if (before == 0) {
+        int openBefore = openRequests.getAsInt();
+        if (openBefore == 0) {
             return;
         }
         long startedAt = clock.getAsLong();
-        answer.accept(BATCH);
-        cost = Math.max(1, (clock.getAsLong() - startedAt) / Math.max(1, before - open.getAsInt()));
+        answerRequests.accept(BATCH_SIZE);
+        costMicros = Math.max(1, (clock.getAsLong() - startedAt) / Math.max(1, openBefore - openRequests.getAsInt()));
         // Behind what has been read and is to be written meanwhile.
-        deadlines.after(0, this::answerBatch);
+        deadlines.scheduleAfter(0, this::answerBatch);
     }
 
     /** Whether it has begun: what is taken from then on would be open when the process is killed. */
     boolean hasBegun() {
-        return begun;
+        return hasBegun;
     }
 }
--- a/src/main/java/badgermux/front/Gate.java
+++ b/src/main/java/badgermux/front/RequestValidator.java
@@ -1,22 +1,22 @@
 package badgermux.front;
 
-import badgermux.http.Head;
-import badgermux.http.Terms;
+import badgermux.http.MessageHead;
+import badgermux.http.ResponseContract;
 
 /** Says of each request, before anything is taken, whether it may come in. */
-public interface Gate {
-    /** Told the verdict once, on the event loop: from inside {@link #judge}, or later. */
-    interface Answer {
+public interface RequestValidator {
+    /** Told the verdict once, on the event loop: from inside {@link #validate}, or later. */
+    interface Callback {
         /** It may come in; {@code terms} are what its answer is held to, null for nothing. */
-        void pass(Terms terms);
+        void onAccepted(ResponseContract terms);
 
         /** It is turned away for what it is; {@code headers} are whole lines. */
-        void refuse(int status, String reason, String headers, byte[] body);
+        void onRejected(int status, String reason, String headers, byte[] body);
 
         /** It can't be judged now, for want of room. */
-        void busy();
+        void onOverloaded();
     }
 
     /** Judges a request that is whole. */
-    void judge(String method, String target, Head head, byte[] body, Answer answer);
+    void validate(String method, String target, MessageHead head, byte[] body, Callback callback);
 }
--- a/src/main/java/badgermux/gate/ContractResource.java
+++ b/src/main/java/badgermux/gate/ContractResource.java
@@ -1,15 +1,15 @@
 package badgermux.gate;
 
-import badgermux.admin.Call;
-import badgermux.admin.Reply;
+import badgermux.admin.AdminRequest;
+import badgermux.admin.AdminResponse;
 import badgermux.admin.Resource;
-import badgermux.contract.Contracts;
-import badgermux.contract.Description;
+import badgermux.contract.ContractSet;
+import badgermux.contract.ApiDescription;
 import badgermux.contract.DescriptionException;
-import badgermux.contract.Diff;
+import badgermux.contract.DescriptionDiff;
 import badgermux.contract.Document;
-import badgermux.contract.Request;
-import badgermux.contract.Verdict;
+import badgermux.contract.HttpRequest;
+import badgermux.contract.ValidationResult;
 import badgermux.operator.SnapshotException;
 import badgermux.operator.SnapshotStore;
 import com.google.gson.JsonArray;
@@ -36,18 +36,18 @@
 public final class ContractResource implements Resource {
     /** The section of the snapshot. */
     public static final String SECTION = "contracts";
-    private static final int SECTION_VERSION = 1, MOST = 100, MOST_SAMPLES = 5;
-    private static final Pattern NAME = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]{0,63}");
+    private static final int SECTION_VERSION = 1, MAX_DESCRIPTIONS = 100, MAX_SAMPLES = 5;
+    private static final Pattern DESCRIPTION_NAME = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]{0,63}");
 
     /** A description as it was set, and compiled; {@code revision} is the snapshot's at which that was done. */
-    private record Entry(String main, Map<String, String> documents, long revision, Description compiled) { }
+    private record StoredDescription(String main, Map<String, String> documents, long revision, ApiDescription description) { }
 
     private final SnapshotStore store;
-    private final ExecutorService loop;
-    private final Map<String, Entry> entries = new TreeMap<>();
-    private Contracts contracts;
+    private final ExecutorService eventLoop;
+    private final Map<String, StoredDescription> descriptions = new TreeMap<>();
+    private ContractSet contracts;
     private boolean passesUndescribed;
-    private ContractGate gate;
+    private ContractValidator contractValidator;
 
     /**
      * Compiles what the snapshot holds.
@@ -57,13 +57,13 @@
      */
     public ContractResource(SnapshotStore store, ExecutorService loop) throws SnapshotException {
         this.store = store;
-        this.loop = loop;
+        this.eventLoop = loop;
         JsonElement section = store.current().section(SECTION);
         try {
             if (section != null) {
-                read(section.getAsJsonObject());
+                readSection(section.getAsJsonObject());
             }
-            contracts = join(entries, passesUndescribed, store.current().revision());
+            contracts = combine(descriptions, passesUndescribed, store.current().revision());
         } catch (DescriptionException e) {
             throw new SnapshotException("section " + SECTION + " can't be used: " + e.problems().get(0));
         } catch (IllegalStateException | NullPointerException | ClassCastException | UnsupportedOperationException e) {
@@ -71,7 +71,7 @@
         }
     }
 
-    private void read(JsonObject section) throws SnapshotException, DescriptionException {
+    private void readSection(JsonObject section) throws SnapshotException, DescriptionException {
         if (section.get("version").getAsInt() > SECTION_VERSION) {
             throw new SnapshotException("section " + SECTION + " was written by a newer program");
         }
@@ -81,18 +81,18 @@
             Map<String, String> documents = new TreeMap<>();
             from.getAsJsonObject("documents").entrySet()
                 .forEach(document -> documents.put(document.getKey(), document.getValue().getAsString()));
-            entries.put(each.getKey(), compile(each.getKey(), from.get("main").getAsString(), documents,
+            descriptions.put(each.getKey(), compile(each.getKey(), from.get("main").getAsString(), documents,
                 from.get("revision").getAsLong()));
         }
     }
 
     /** The gate that judges by what is set here. */
-    public ContractGate gate(java.util.concurrent.Executor onLoop, badgermux.metrics.Metrics metrics) {
-        gate = new ContractGate(onLoop, metrics, contracts);
-        return gate;
+    public ContractValidator contractValidator(java.util.concurrent.Executor onLoop, badgermux.metrics.Metrics metrics) {
+        contractValidator = new ContractValidator(onLoop, metrics, contracts);
+        return contractValidator;
     }
 
-    private static Entry compile(String name, String main, Map<String, String> documents, long revision)
+    private static StoredDescription compile(String name, String main, Map<String, String> documents, long revision)
             throws DescriptionException {
         List<Document> others = new ArrayList<>();
         Document primary = null;
@@ -104,78 +104,78 @@
                 others.add(read);
             }
         }
-        return new Entry(main, documents, revision, Description.compile(name, primary, others));
+        return new StoredDescription(main, documents, revision, ApiDescription.compile(name, primary, others));
     }
 
-    private static Contracts join(Map<String, Entry> entries, boolean passes, long revision)
+    private static ContractSet combine(Map<String, StoredDescription> entries, boolean passes, long revision)
             throws DescriptionException {
-        return Contracts.of(revision, entries.values().stream().map(Entry::compiled).toList(), passes);
+        return ContractSet.of(revision, entries.values().stream().map(StoredDescription::description).toList(), passes);
     }
 
-    @Override public Reply handle(Call call) throws Exception {
+    @Override public AdminResponse handle(AdminRequest call) throws Exception {
         if (call.path().isEmpty()) {
             return switch (call.method()) {
-                case "GET" -> Reply.json(200, overview());
-                case "PUT" -> settings(call);
-                default -> Reply.problem(405, "GET or PUT");
+                case "GET" -> AdminResponse.json(200, overview());
+                case "PUT" -> putSettings(call);
+                default -> AdminResponse.problem(405, "GET or PUT");
             };
         }
         String name = call.path().get(0);
-        if (call.path().size() > 1 || !NAME.matcher(name).matches()) {
-            return Reply.problem(404, "a description's name has letters, digits, '.', '_' and '-', 64 at most");
+        if (call.path().size() > 1 || !DESCRIPTION_NAME.matcher(name).matches()) {
+            return AdminResponse.problem(404, "a description's name has letters, digits, '.', '_' and '-', 64 at most");
         }
-        Entry known = entries.get(name);
+        StoredDescription known = descriptions.get(name);
         if (call.method().equals("GET")) {
-            return known == null ? Reply.problem(404, "there is no description of this name")
-                : Reply.json(200, etag(known.revision()), detail(name, known));
+            return known == null ? AdminResponse.problem(404, "there is no description of this name")
+                : AdminResponse.json(200, etagHeader(known.revision()), toJson(name, known));
         }
         if (!call.method().equals("PUT") && !call.method().equals("DELETE")) {
-            return Reply.problem(405, "GET, PUT or DELETE");
+            return AdminResponse.problem(405, "GET, PUT or DELETE");
         }
-        Reply refused = precondition(call, known);
+        AdminResponse refused = checkPrecondition(call, known);
         if (refused != null) {
             return refused;
         }
         if (call.method().equals("DELETE")) {
-            Map<String, Entry> next = new TreeMap<>(entries);
+            Map<String, StoredDescription> next = new TreeMap<>(descriptions);
             next.remove(name);
-            return change(call, next, passesUndescribed, null, known, name);
+            return applyChange(call, next, passesUndescribed, null, known, name);
         }
-        return put(call, name, known);
+        return putDescription(call, name, known);
     }
 
-    private static String etag(long revision) {
+    private static String etagHeader(long revision) {
         return "ETag: \"" + revision + "\"\r\n";
     }
 
     /** Guards against an operator who overwrites what another has just set. */
-    private static Reply precondition(Call call, Entry known) {
+    private static AdminResponse checkPrecondition(AdminRequest call, StoredDescription known) {
         if (known == null) {
-            return call.method().equals("DELETE") ? Reply.problem(404, "there is no description of this name")
-                : call.ifMatch() != null ? Reply.problem(412, "there is no description of this name yet") : null;
+            return call.method().equals("DELETE") ? AdminResponse.problem(404, "there is no description of this name")
+                : call.ifMatch() != null ? AdminResponse.problem(412, "there is no description of this name yet") : null;
         }
-        boolean dry = isDry(call);
+        boolean dry = isDryRun(call);
         if (call.ifMatch() == null) {
-            return dry ? null : Reply.problem(428, "If-Match must name the revision that is to be replaced: \""
+            return dry ? null : AdminResponse.problem(428, "If-Match must name the revision that is to be replaced: \""
                 + known.revision() + '"');
         }
         return call.ifMatch().equals("*") || call.ifMatch().equals('"' + String.valueOf(known.revision()) + '"') ? null
-            : Reply.problem(412, "the description has changed; it is at revision " + known.revision());
+            : AdminResponse.problem(412, "the description has changed; it is at revision " + known.revision());
     }
 
-    private static boolean isDry(Call call) {
+    private static boolean isDryRun(AdminRequest call) {
         String dry = call.query().get("dry-run");
         return dry != null && !dry.equals("false");
     }
 
-    private Reply put(Call call, String name, Entry known) throws Exception {
-        if (known == null && entries.size() >= MOST) {
-            return Reply.problem(409, "there are " + MOST + " descriptions already");
+    private AdminResponse putDescription(AdminRequest call, String name, StoredDescription known) throws Exception {
+        if (known == null && descriptions.size() >= MAX_DESCRIPTIONS) {
+            return AdminResponse.problem(409, "there are " + MAX_DESCRIPTIONS + " descriptions already");
         }
         Map<String, String> documents = new TreeMap<>();
         String main = name;
         String text = new String(call.body(), StandardCharsets.UTF_8);
-        JsonObject wrapped = wrapped(text);
+        JsonObject wrapped = parseMultipleDocuments(text);
         if (wrapped == null) {
             documents.put(name, text);
         } else {
@@ -185,25 +185,25 @@
                 main = wrapped.get("main").getAsString();
             } catch (IllegalStateException | NullPointerException | ClassCastException
                     | UnsupportedOperationException e) {
-                return Reply.problem(422, "documents must map names to texts, and main must name one of them");
+                return AdminResponse.problem(422, "documents must map names to texts, and main must name one of them");
             }
             if (!documents.containsKey(main)) {
-                return Reply.problem(422, "main names no document: " + main);
+                return AdminResponse.problem(422, "main names no document: " + main);
             }
         }
-        Entry made;
+        StoredDescription made;
         try {
             made = compile(name, main, documents, store.current().revision() + 1);
         } catch (DescriptionException e) {
-            return problems("the description can't be used; nothing has changed", e);
+            return problemsReply("the description can't be used; nothing has changed", e);
         }
-        Map<String, Entry> next = new TreeMap<>(entries);
+        Map<String, StoredDescription> next = new TreeMap<>(descriptions);
         next.put(name, made);
-        return change(call, next, passesUndescribed, made, known, name);
+        return applyChange(call, next, passesUndescribed, made, known, name);
     }
 
     /** Several documents in one JSON object; null where the text is a description itself. */
-    private static JsonObject wrapped(String text) {
+    private static JsonObject parseMultipleDocuments(String text) {
         if (!text.stripLeading().startsWith("{") || !text.contains("\"documents\"")) {
             return null;
         }
@@ -215,8 +215,8 @@
         }
     }
 
-    private static Reply problems(String detail, DescriptionException e) {
-        return Reply.problem(422, detail, e.problems().stream().map(problem -> {
+    private static AdminResponse problemsReply(String detail, DescriptionException e) {
+        return AdminResponse.problem(422, detail, e.problems().stream().map(problem -> {
             JsonObject each = new JsonObject();
             each.addProperty("document", problem.document());
             each.addProperty("line", problem.line());
@@ -226,7 +226,7 @@
         }).toList());
     }
 
-    private Reply settings(Call call) throws Exception {
+    private AdminResponse putSettings(AdminRequest call) throws Exception {
         String word;
         try {
             word = JsonParser.parseString(new String(call.body(), StandardCharsets.UTF_8)).getAsJsonObject()
@@ -235,61 +235,61 @@
             word = "";
         }
         if (!word.equals("pass") && !word.equals("refuse")) {
-            return Reply.problem(422, "undescribed must be pass or refuse");
+            return AdminResponse.problem(422, "undescribed must be pass or refuse");
         }
-        return change(call, entries, word.equals("pass"), null, null, null);
+        return applyChange(call, descriptions, word.equals("pass"), null, null, null);
     }
 
     /** Checks a change as a whole, reports on it and, unless it is a dry run, keeps and installs it. */
-    private Reply change(Call call, Map<String, Entry> next, boolean passes, Entry made, Entry before, String name)
+    private AdminResponse applyChange(AdminRequest call, Map<String, StoredDescription> next, boolean passes, StoredDescription made, StoredDescription before, String name)
             throws Exception {
         long revision = store.current().revision() + 1;
-        Contracts joined;
+        ContractSet joined;
         try {
-            joined = join(next, passes, revision);
+            joined = combine(next, passes, revision);
         } catch (DescriptionException e) {
-            return problems("it contradicts another description; nothing has changed", e);
+            return problemsReply("it contradicts another description; nothing has changed", e);
         }
         JsonObject report = new JsonObject();
         report.addProperty("revision", revision);
-        report.addProperty("dryRun", isDry(call));
+        report.addProperty("dryRun", isDryRun(call));
         if (made != null) {
-            report.addProperty("kind", made.compiled().kind());
-            report.addProperty("routes", made.compiled().size());
-            report.add("warnings", strings(made.compiled().warnings()));
+            report.addProperty("kind", made.description().specification());
+            report.addProperty("routes", made.description().size());
+            report.add("warnings", toJsonStrings(made.description().warnings()));
         }
         report.add("breaking", made == null || before == null ? new JsonArray()
-            : strings(Diff.of(before.compiled(), made.compiled())));
-        report.add("recent", recent(joined));
-        if (!isDry(call)) {
-            entries.keySet().retainAll(next.keySet());
-            entries.putAll(next);
+            : toJsonStrings(DescriptionDiff.breakingChanges(before.description(), made.description())));
+        report.add("recent", compareOnRecentRequests(joined));
+        if (!isDryRun(call)) {
+            descriptions.keySet().retainAll(next.keySet());
+            descriptions.putAll(next);
             passesUndescribed = passes;
-            boolean kept = store.set(store.current().with(SECTION, section()));
+            boolean kept = store.replace(store.current().with(SECTION, toSection()));
             contracts = joined;
-            onLoop(() -> {
-                gate.install(joined);
+            callOnEventLoop(() -> {
+                contractValidator.install(joined);
                 return null;
             });
             report.addProperty("kept", kept);
-            Logger.info("contracts revision {}: {} descriptions, {} paths and channels{}", revision, entries.size(),
+            Logger.info("contracts revision {}: {} descriptions, {} paths and channels{}", revision, descriptions.size(),
                 joined.size(), name == null ? "" : ", changed: " + name);
         }
-        return Reply.json(made != null && before == null && !isDry(call) ? 201 : 200,
-            made == null || isDry(call) ? "" : etag(revision), report);
+        return AdminResponse.json(made != null && before == null && !isDryRun(call) ? 201 : 200,
+            made == null || isDryRun(call) ? "" : etagHeader(revision), report);
     }
 
-    private JsonObject section() {
+    private JsonObject toSection() {
         JsonObject section = new JsonObject();
         section.addProperty("version", SECTION_VERSION);
         section.addProperty("undescribed", passesUndescribed ? "pass" : "refuse");
         JsonObject all = new JsonObject();
-        entries.forEach((name, entry) -> all.add(name, detail(name, entry)));
+        descriptions.forEach((name, entry) -> all.add(name, toJson(name, entry)));
         section.add("descriptions", all);
         return section;
     }
 
-    private static JsonObject detail(String name, Entry entry) {
+    private static JsonObject toJson(String name, StoredDescription entry) {
         JsonObject detail = new JsonObject();
         detail.addProperty("main", entry.main());
         detail.addProperty("revision", entry.revision());
@@ -304,50 +304,50 @@
         overview.addProperty("revision", contracts.revision());
         overview.addProperty("undescribed", passesUndescribed ? "pass" : "refuse");
         JsonArray all = new JsonArray();
-        entries.forEach((name, entry) -> {
+        descriptions.forEach((name, entry) -> {
             JsonObject each = new JsonObject();
             each.addProperty("name", name);
-            each.addProperty("kind", entry.compiled().kind());
-            each.addProperty("routes", entry.compiled().size());
+            each.addProperty("kind", entry.description().specification());
+            each.addProperty("routes", entry.description().size());
             each.addProperty("revision", entry.revision());
-            each.add("warnings", strings(entry.compiled().warnings()));
+            each.add("warnings", toJsonStrings(entry.description().warnings()));
             all.add(each);
         });
         overview.add("descriptions", all);
         JsonArray alive = new JsonArray();
-        onLoop(gate::alive).forEach(revision -> {
+        callOnEventLoop(contractValidator::activeRevisions).forEach(revision -> {
             JsonObject each = new JsonObject();
             each.addProperty("revision", revision.revision());
-            each.addProperty("open", revision.open());
+            each.addProperty("open", revision.openRequests());
             alive.add(each);
         });
         overview.add("alive", alive);
         return overview;
     }
 
-    private <T> T onLoop(Callable<T> work) throws InterruptedException, ExecutionException {
-        return loop.submit(work).get();
+    private <T> T callOnEventLoop(Callable<T> work) throws InterruptedException, ExecutionException {
+        return eventLoop.submit(work).get();
     }
 
-    private static JsonArray strings(List<?> of) {
+    private static JsonArray toJsonStrings(List<?> of) {
         JsonArray strings = new JsonArray();
         of.forEach(each -> strings.add(each.toString()));
         return strings;
     }
 
     /** The last requests, judged by what is in force and by what would be. */
-    private JsonObject recent(Contracts next) throws InterruptedException, ExecutionException {
+    private JsonObject compareOnRecentRequests(ContractSet next) throws InterruptedException, ExecutionException {
         int refused = 0;
         int allowed = 0;
         JsonArray samples = new JsonArray();
-        List<Request> requests = onLoop(gate::recent);
-        for (Request request : requests) {
-            Verdict before = contracts.judge(request).verdict();
-            Verdict after = next.judge(request).verdict();
+        List<HttpRequest> requests = callOnEventLoop(contractValidator::recentRequests);
+        for (HttpRequest request : requests) {
+            ValidationResult before = contracts.validate(request).result();
+            ValidationResult after = next.validate(request).result();
             allowed += !before.conforms() && after.conforms() ? 1 : 0;
             if (before.conforms() && !after.conforms()) {
                 refused++;
-                if (samples.size() < MOST_SAMPLES) {
+                if (samples.size() < MAX_SAMPLES) {
                     JsonObject sample = new JsonObject();
                     String target = request.target();
                     sample.addProperty("request", request.method() + ' ' + target.substring(0,
--- a/src/main/java/badgermux/gate/ZoneResource.java
+++ b/src/main/java/badgermux/gate/ZoneResource.java
@@ -1,9 +1,9 @@
 package badgermux.gate;
 
-import badgermux.admin.Call;
-import badgermux.admin.Reply;
+import badgermux.admin.AdminRequest;
+import badgermux.admin.AdminResponse;
 import badgermux.admin.Resource;
-import badgermux.decide.Dispatch;
+import badgermux.decide.DispatchPolicy;
 import badgermux.operator.SnapshotException;
 import badgermux.operator.SnapshotStore;
 import badgermux.zone.ZonePolicy;
@@ -30,27 +30,27 @@
     /** The section of the snapshot. */
     public static final String SECTION = "zones";
     private static final int SECTION_VERSION = 1;
-    private static final Set<String> KEYS = Set.of("openAt", "closeAt", "degradedAt", "darkAt", "leastNodes",
+    private static final Set<String> SETTING_KEYS = Set.of("openAt", "closeAt", "degradedAt", "darkAt", "leastNodes",
         "evidenceForMs", "spillShare", "spillLeaves", "spillReserve", "holdMs", "longestHoldMs", "forgetsAfterMs", "stageMs",
         "stages", "learnsForMs", "coldForMs", "slotsPerNode", "guardsList", "tiers");
 
     private final SnapshotStore store;
-    private final ExecutorService loop;
-    private final LongSupplier clock;
-    private List<String> zones = List.of();
-    private Dispatch.Settings settings;
-    private ZonePolicy policy;
+    private final ExecutorService eventLoop;
+    private final LongSupplier clockMicros;
+    private List<String> zoneNames = List.of();
+    private DispatchPolicy.Settings dispatchSettings;
+    private ZonePolicy zonePolicy;
 
     public ZoneResource(SnapshotStore store, ExecutorService loop, LongSupplier clock) {
         this.store = store;
-        this.loop = loop;
-        this.clock = clock;
+        this.eventLoop = loop;
+        this.clockMicros = clock;
     }
 
     /** The policy by what the snapshot holds; null where zones are off. */
-    public ZonePolicy policy(List<String> names, Dispatch.Settings module) throws SnapshotException {
-        zones = names;
-        settings = module;
+    public ZonePolicy zonePolicy(List<String> names, DispatchPolicy.Settings module) throws SnapshotException {
+        zoneNames = names;
+        dispatchSettings = module;
         JsonElement section = store.current().section(SECTION);
         if (section == null) {
             return null;
@@ -60,8 +60,8 @@
             if (object.get("version").getAsInt() > SECTION_VERSION) {
                 throw new SnapshotException("section " + SECTION + " was written by a newer program");
             }
-            policy = new ZonePolicy(read(object.getAsJsonObject("settings")));
-            return policy;
+            zonePolicy = new ZonePolicy(parseSettings(object.getAsJsonObject("settings")));
+            return zonePolicy;
         } catch (IllegalArgumentException e) {
             throw new SnapshotException("section " + SECTION + ": " + e.getMessage());
         } catch (IllegalStateException | NullPointerException | ClassCastException | UnsupportedOperationException e) {
@@ -70,94 +70,94 @@
     }
 
     /** Reads settings; what makes no sense is told by the key that says it. */
-    private ZoneSettings read(JsonObject from) {
+    private ZoneSettings parseSettings(JsonObject from) {
         ZoneSettings s = new ZoneSettings();
-        s.zones = zones;
-        s.own = settings.zone;
-        s.dispatchers = settings.dispatchers;
-        s.index = settings.index;
-        s.worths = settings.classes.stream().mapToDouble(Dispatch.JobClass::worth).toArray();
-        s.coldFor = settings.coldFor;
-        s.coldShare = settings.coldShare;
-        s.fallMultiple = settings.fallMultiple;
-        s.fallWindow = settings.fallWindow;
+        s.zoneNames = zoneNames;
+        s.ownZone = dispatchSettings.ownZone;
+        s.dispatcherCount = dispatchSettings.dispatcherCount;
+        s.dispatcherIndex = dispatchSettings.dispatcherIndex;
+        s.classWorths = dispatchSettings.classes.stream().mapToDouble(DispatchPolicy.RequestClass::worth).toArray();
+        s.warmUpMicros = dispatchSettings.warmUpMicros;
+        s.coldCapacityShare = dispatchSettings.coldCapacityShare;
+        s.overloadMultiple = dispatchSettings.overloadMultiple;
+        s.overloadWindowMicros = dispatchSettings.overloadWindowMicros;
         for (Map.Entry<String, JsonElement> entry : from.entrySet()) {
-            if (!KEYS.contains(entry.getKey())) {
+            if (!SETTING_KEYS.contains(entry.getKey())) {
                 throw new IllegalArgumentException(entry.getKey() + " is no setting of zones");
             }
             try {
-                set(s, entry.getKey(), entry.getValue());
+                applySetting(s, entry.getKey(), entry.getValue());
             } catch (IllegalStateException | NumberFormatException | UnsupportedOperationException | ClassCastException e) {
                 throw new IllegalArgumentException(entry.getKey() + " has a value of the wrong kind");
             }
         }
-        return s.checked();
+        return s.validated();
     }
 
-    private void set(ZoneSettings s, String key, JsonElement value) {
+    private void applySetting(ZoneSettings s, String key, JsonElement value) {
         switch (key) {
-            case "openAt" -> s.openAt = value.getAsDouble();
-            case "closeAt" -> s.closeAt = value.getAsDouble();
-            case "degradedAt" -> s.degradedAt = value.getAsDouble();
-            case "darkAt" -> s.darkAt = value.getAsDouble();
-            case "leastNodes" -> s.leastNodes = value.getAsInt();
-            case "evidenceForMs" -> s.evidenceFor = micros(value);
-            case "spillShare" -> s.spillShare = value.getAsDouble();
-            case "spillLeaves" -> s.spillLeaves = value.getAsDouble();
-            case "spillReserve" -> s.spillReserve = value.getAsDouble();
-            case "holdMs" -> s.hold = micros(value);
-            case "longestHoldMs" -> s.longestHold = micros(value);
-            case "forgetsAfterMs" -> s.forgetsAfter = micros(value);
-            case "stageMs" -> s.stage = micros(value);
-            case "learnsForMs" -> s.learnsFor = micros(value);
-            case "coldForMs" -> s.coldFor = micros(value);
-            case "slotsPerNode" -> s.slotsPerNode = value.getAsDouble();
+            case "openAt" -> s.nextTierOpenShare = value.getAsDouble();
+            case "closeAt" -> s.nextTierCloseShare = value.getAsDouble();
+            case "degradedAt" -> s.degradedShare = value.getAsDouble();
+            case "darkAt" -> s.darkShare = value.getAsDouble();
+            case "leastNodes" -> s.minSilentBackends = value.getAsInt();
+            case "evidenceForMs" -> s.evidenceWindowMicros = millisToMicros(value);
+            case "spillShare" -> s.maxSpillShare = value.getAsDouble();
+            case "spillLeaves" -> s.spillHeadroomShare = value.getAsDouble();
+            case "spillReserve" -> s.spillReserveShare = value.getAsDouble();
+            case "holdMs" -> s.initialHoldMicros = millisToMicros(value);
+            case "longestHoldMs" -> s.maxHoldMicros = millisToMicros(value);
+            case "forgetsAfterMs" -> s.lossMemoryMicros = millisToMicros(value);
+            case "stageMs" -> s.minStageMicros = millisToMicros(value);
+            case "learnsForMs" -> s.learningMicros = millisToMicros(value);
+            case "coldForMs" -> s.warmUpMicros = millisToMicros(value);
+            case "slotsPerNode" -> s.defaultSlotsPerBackend = value.getAsDouble();
             case "guardsList" -> {
                 if (!value.getAsJsonPrimitive().isBoolean()) {
                     throw new IllegalStateException();
                 }
-                s.guardsList = value.getAsBoolean();
+                s.keepsUnlistedBackends = value.getAsBoolean();
             }
             case "stages" -> {
                 JsonArray list = value.getAsJsonArray();
-                s.stages = new double[list.size()];
-                Arrays.setAll(s.stages, i -> list.get(i).getAsDouble());
+                s.returnStageShares = new double[list.size()];
+                Arrays.setAll(s.returnStageShares, i -> list.get(i).getAsDouble());
             }
-            default -> s.tiers = tiers(value.getAsJsonObject());
+            default -> s.tiersByClass = parseTiers(value.getAsJsonObject());
         }
     }
 
-    private static long micros(JsonElement value) {
+    private static long millisToMicros(JsonElement value) {
         return Math.round(value.getAsDouble() * 1000);
     }
 
     /** For each class, by name or as {@code default}, lists of zones in order of preference; {@code own} and {@code any}. */
-    private int[][] tiers(JsonObject from) {
+    private int[][] parseTiers(JsonObject from) {
         for (String name : from.keySet()) {
-            if (!name.equals("default") && settings.classes.stream().noneMatch(c -> c.name().equals(name))) {
+            if (!name.equals("default") && dispatchSettings.classes.stream().noneMatch(c -> c.name().equals(name))) {
                 throw new IllegalArgumentException("tiers: there is no class " + name);
             }
         }
-        int[][] tiers = new int[settings.classes.size()][zones.size()];
+        int[][] tiers = new int[dispatchSettings.classes.size()][zoneNames.size()];
         for (int c = 0; c < tiers.length; c++) {
-            JsonElement of = from.get(settings.classes.get(c).name());
+            JsonElement of = from.get(dispatchSettings.classes.get(c).name());
             of = of == null ? from.get("default") : of;
             Arrays.fill(tiers[c], -1);
             if (of == null) {
                 Arrays.fill(tiers[c], 1);
-                tiers[c][settings.zone] = 0;
+                tiers[c][dispatchSettings.ownZone] = 0;
                 continue;
             }
             int tier = 0;
             for (JsonElement level : of.getAsJsonArray()) {
                 for (JsonElement name : level.getAsJsonArray()) {
                     String zone = name.getAsString();
-                    for (int z = 0; z < zones.size(); z++) {
-                        boolean meant = zone.equals("any") || zone.equals(z == settings.zone ? "own" : "")
-                            || zone.equals(zones.get(z));
+                    for (int z = 0; z < zoneNames.size(); z++) {
+                        boolean meant = zone.equals("any") || zone.equals(z == dispatchSettings.ownZone ? "own" : "")
+                            || zone.equals(zoneNames.get(z));
                         tiers[c][z] = meant && tiers[c][z] < 0 ? tier : tiers[c][z];
                     }
-                    if (!zone.equals("any") && !zone.equals("own") && !zones.contains(zone)) {
+                    if (!zone.equals("any") && !zone.equals("own") && !zoneNames.contains(zone)) {
                         throw new IllegalArgumentException("tiers: there is no zone " + zone);
                     }
                 }
@@ -167,73 +167,73 @@
         return tiers;
     }
 
-    @Override public Reply handle(Call call) throws Exception {
+    @Override public AdminResponse handle(AdminRequest call) throws Exception {
         if (!call.path().isEmpty()) {
-            return Reply.problem(404, "there is only /v1/zones");
+            return AdminResponse.problem(404, "there is only /v1/zones");
         }
         switch (call.method()) {
             case "GET" -> {
-                return Reply.json(200, view());
+                return AdminResponse.json(200, toJson());
             }
             case "DELETE" -> {
-                return kept(store.set(store.current().with(SECTION, null)));
+                return changeReply(store.replace(store.current().with(SECTION, null)));
             }
             case "PUT" -> {
                 JsonObject object;
                 try {
                     object = JsonParser.parseString(new String(call.body(), StandardCharsets.UTF_8)).getAsJsonObject();
-                    read(object);
+                    parseSettings(object);
                 } catch (JsonParseException | IllegalStateException e) {
-                    return Reply.problem(422, "the body must be a JSON object of settings");
+                    return AdminResponse.problem(422, "the body must be a JSON object of settings");
                 } catch (IllegalArgumentException e) {
-                    return Reply.problem(422, e.getMessage());
+                    return AdminResponse.problem(422, e.getMessage());
                 }
                 JsonObject section = new JsonObject();
                 section.addProperty("version", SECTION_VERSION);
                 section.add("settings", object);
                 String dry = call.query().get("dry-run");
-                return dry != null && !dry.equals("false") ? Reply.json(200, section)
-                    : kept(store.set(store.current().with(SECTION, section)));
+                return dry != null && !dry.equals("false") ? AdminResponse.json(200, section)
+                    : changeReply(store.replace(store.current().with(SECTION, section)));
             }
             default -> {
-                return Reply.problem(405, "GET, PUT or DELETE");
+                return AdminResponse.problem(405, "GET, PUT or DELETE");
             }
         }
     }
 
-    private Reply kept(boolean kept) {
+    private AdminResponse changeReply(boolean kept) {
         JsonObject report = new JsonObject();
         report.addProperty("revision", store.current().revision());
         report.addProperty("kept", kept);
         report.addProperty("counts", "from the next start on");
-        return Reply.json(200, report);
+        return AdminResponse.json(200, report);
     }
 
-    private JsonObject view() throws InterruptedException, ExecutionException {
+    private JsonObject toJson() throws InterruptedException, ExecutionException {
         JsonObject view = new JsonObject();
-        view.addProperty("on", policy != null);
+        view.addProperty("on", zonePolicy != null);
         JsonElement section = store.current().section(SECTION);
         view.add("settings", section == null ? null : section.getAsJsonObject().get("settings"));
         JsonArray all = new JsonArray();
-        if (policy != null) {
-            long now = clock.getAsLong();
-            for (ZonePolicy.View zone : loop.submit(() -> policy.views(now)).get()) {
+        if (zonePolicy != null) {
+            long now = clockMicros.getAsLong();
+            for (ZonePolicy.Status zone : eventLoop.submit(() -> zonePolicy.statuses(now)).get()) {
                 JsonObject each = new JsonObject();
                 each.addProperty("zone", zone.zone());
-                each.addProperty("standing", zone.standing().name().toLowerCase(java.util.Locale.ROOT));
-                each.addProperty("forS", (now - zone.since()) / 100_000 / 10.0);
+                each.addProperty("standing", zone.health().name().toLowerCase(java.util.Locale.ROOT));
+                each.addProperty("forS", (now - zone.healthSince()) / 100_000 / 10.0);
                 each.addProperty("evidence", zone.evidence());
-                each.addProperty("stage", zone.stage());
-                each.addProperty("losses", zone.losses());
-                each.addProperty("ready", zone.ready());
-                each.addProperty("usual", Math.round(zone.usual() * 10) / 10.0);
-                each.addProperty("silent", zone.silent());
-                each.addProperty("slotsAtWork", zone.inFlight());
-                each.addProperty("slotsSpilled", zone.spilled());
-                each.addProperty("spillBound", Math.round(zone.bound() * 100) / 100.0);
-                each.addProperty("nextTierOpen", zone.open());
-                each.addProperty("spills", zone.spills());
-                each.addProperty("refusals", zone.refusals());
+                each.addProperty("stage", zone.returnStage());
+                each.addProperty("losses", zone.lossCount());
+                each.addProperty("ready", zone.readyCount());
+                each.addProperty("usual", Math.round(zone.usualReadyCount() * 10) / 10.0);
+                each.addProperty("silent", zone.silentCount());
+                each.addProperty("slotsAtWork", zone.slotsInFlight());
+                each.addProperty("slotsSpilled", zone.spilledSlots());
+                each.addProperty("spillBound", Math.round(zone.spillBound() * 100) / 100.0);
+                each.addProperty("nextTierOpen", zone.isNextTierOpen());
+                each.addProperty("spills", zone.spillCount());
+                each.addProperty("refusals", zone.refusalCount());
                 all.add(each);
             }
         }
--- a/src/main/java/badgermux/http/BadMessage.java
+++ b/src/main/java/badgermux/http/InvalidMessageException.java
@@ -1,12 +1,12 @@
 package badgermux.http;
 
 /** A message that breaks the protocol or a bound; {@link #status} is what a client is answered. */
-public final class BadMessage extends Exception {
+public final class InvalidMessageException extends Exception {
     private static final long serialVersionUID = 1L;
 
     private final int status;
 
-    public BadMessage(int status, String message) {
+    public InvalidMessageException(int status, String message) {
         super(message, null, false, false);
         this.status = status;
     }
--- a/src/main/java/badgermux/http/JsonLine.java
+++ b/src/main/java/badgermux/http/JsonLine.java
@@ -13,15 +13,15 @@
 public final class JsonLine {
     private final byte[] bytes;
     private final Map<String, byte[]> values = new LinkedHashMap<>();
-    private int at;
+    private int position;
 
     private JsonLine(byte[] bytes) {
         this.bytes = bytes;
     }
 
-    public static JsonLine parse(byte[] bytes) throws BadMessage {
+    public static JsonLine parse(byte[] bytes) throws InvalidMessageException {
         JsonLine line = new JsonLine(bytes);
-        line.object();
+        line.parseObject();
         return line;
     }
 
@@ -31,97 +31,97 @@
     }
 
     /** A string's content, or any other value as it stands; null where it is absent. */
-    public byte[] content(String name) throws BadMessage {
+    public byte[] decoded(String name) throws InvalidMessageException {
         byte[] value = values.get(name);
-        return value == null || value[0] != '"' ? value : unquote(value);
+        return value == null || value[0] != '"' ? value : decodeString(value);
     }
 
-    public String text(String name) throws BadMessage {
-        byte[] content = content(name);
+    public String text(String name) throws InvalidMessageException {
+        byte[] content = decoded(name);
         return content == null ? null : new String(content, StandardCharsets.UTF_8);
     }
 
-    private void object() throws BadMessage {
+    private void parseObject() throws InvalidMessageException {
         expect('{');
-        for (boolean more = peek() != '}'; more; more = peek() == ',') {
+        for (boolean more = peekNonBlank() != '}'; more; more = peekNonBlank() == ',') {
             if (!values.isEmpty()) {
                 expect(',');
             }
-            int from = skipTo('"');
-            string();
-            String name = new String(unquote(Arrays.copyOfRange(bytes, from, at)), StandardCharsets.UTF_8);
+            int from = requireNext('"');
+            skipString();
+            String name = new String(decodeString(Arrays.copyOfRange(bytes, from, position)), StandardCharsets.UTF_8);
             expect(':');
-            peek();
-            int start = at;
-            value();
-            values.put(name, Arrays.copyOfRange(bytes, start, at));
+            peekNonBlank();
+            int start = position;
+            skipValue();
+            values.put(name, Arrays.copyOfRange(bytes, start, position));
         }
         expect('}');
-        if (peek() != -1) {
-            throw broken();
+        if (peekNonBlank() != -1) {
+            throw malformed();
         }
     }
 
-    private int skipTo(char c) throws BadMessage {
-        if (peek() != c) {
-            throw broken();
+    private int requireNext(char c) throws InvalidMessageException {
+        if (peekNonBlank() != c) {
+            throw malformed();
         }
-        return at;
+        return position;
     }
 
-    private void expect(char c) throws BadMessage {
-        skipTo(c);
-        at++;
+    private void expect(char c) throws InvalidMessageException {
+        requireNext(c);
+        position++;
     }
 
     /** The next byte that is no white space, which it stays on; -1 at the end. */
-    private int peek() {
-        while (at < bytes.length && (bytes[at] == ' ' || bytes[at] == '\t' || bytes[at] == '\r' || bytes[at] == '\n')) {
-            at++;
+    private int peekNonBlank() {
+        while (position < bytes.length && (bytes[position] == ' ' || bytes[position] == '\t' || bytes[position] == '\r' || bytes[position] == '\n')) {
+            position++;
         }
-        return at < bytes.length ? bytes[at] : -1;
+        return position < bytes.length ? bytes[position] : -1;
     }
 
-    private void string() throws BadMessage {
-        for (at++; at < bytes.length && bytes[at] != '"'; at++) {
-            at += bytes[at] == '\\' ? 1 : 0;
+    private void skipString() throws InvalidMessageException {
+        for (position++; position < bytes.length && bytes[position] != '"'; position++) {
+            position += bytes[position] == '\\' ? 1 : 0;
         }
-        if (at >= bytes.length) {
-            throw broken();
+        if (position >= bytes.length) {
+            throw malformed();
         }
-        at++;
+        position++;
     }
 
     /** Passes over a value; nested ones by their brackets, strings in them heeded. */
-    private void value() throws BadMessage {
+    private void skipValue() throws InvalidMessageException {
         int depth = 0;
-        int start = at;
-        while (at < bytes.length) {
-            byte b = bytes[at];
+        int start = position;
+        while (position < bytes.length) {
+            byte b = bytes[position];
             if (b == '"') {
-                string();
+                skipString();
             } else if (b == '{' || b == '[') {
                 depth++;
-                at++;
+                position++;
             } else if (depth > 0 && (b == '}' || b == ']')) {
                 depth--;
-                at++;
+                position++;
             } else if (depth == 0 && (b == ',' || b == '}' || b <= ' ')) {
                 break;
             } else {
-                at++;
+                position++;
                 continue;
             }
             if (depth == 0) {
                 break;
             }
         }
-        if (depth > 0 || at == start) {
-            throw broken();
+        if (depth > 0 || position == start) {
+            throw malformed();
         }
     }
 
-    private static byte[] unquote(byte[] quoted) throws BadMessage {
+    private static byte[] decodeString(byte[] quoted) throws InvalidMessageException {
         ByteArrayOutputStream out = new ByteArrayOutputStream(quoted.length);
         for (int i = 1; i < quoted.length - 1; i++) {
             if (quoted[i] != '\\') {
@@ -133,13 +133,13 @@
             if (plain >= 0) {
                 out.write("\"\\/\b\f\n\r\t".charAt(plain));
             } else {
-                int unit = unit(quoted, i);
+                int unit = parseUnicodeEscape(quoted, i);
                 i += 4;
                 boolean pair = Character.isHighSurrogate((char) unit) && i + 6 < quoted.length - 1
                     && quoted[i + 1] == '\\' && quoted[i + 2] == 'u';
                 String text = String.valueOf((char) unit);
                 if (pair) {
-                    text += (char) unit(quoted, i + 2);
+                    text += (char) parseUnicodeEscape(quoted, i + 2);
                     i += 6;
                 }
                 out.writeBytes(text.getBytes(StandardCharsets.UTF_8));
@@ -148,18 +148,18 @@
         return out.toByteArray();
     }
 
-    private static int unit(byte[] quoted, int u) throws BadMessage {
+    private static int parseUnicodeEscape(byte[] quoted, int u) throws InvalidMessageException {
         if (quoted[u] != 'u' || u + 4 >= quoted.length) {
-            throw broken();
+            throw malformed();
         }
         try {
             return Integer.parseInt(new String(quoted, u + 1, 4, StandardCharsets.ISO_8859_1), 16);
         } catch (NumberFormatException e) {
-            throw broken();
+            throw malformed();
         }
     }
 
-    private static BadMessage broken() {
-        return new BadMessage(502, "malformed JSON line");
+    private static InvalidMessageException malformed() {
+        return new InvalidMessageException(502, "malformed JSON line");
     }
 }
--- a/src/main/java/badgermux/http/Lines.java
+++ b/src/main/java/badgermux/http/LineSplitter.java
@@ -6,8 +6,8 @@
 import java.util.List;
 
 /** Cuts a body that comes in pieces into lines. */
-public final class Lines {
-    private final ByteArrayOutputStream open = new ByteArrayOutputStream();
+public final class LineSplitter {
+    private final ByteArrayOutputStream partialLine = new ByteArrayOutputStream();
 
     /** The lines that these bytes complete, without their ends; empty ones are left out. */
     public List<byte[]> add(byte[] bytes) {
@@ -15,27 +15,27 @@
         int from = 0;
         for (int i = 0; i < bytes.length; i++) {
             if (bytes[i] == '\n') {
-                open.write(bytes, from, i - from);
+                partialLine.write(bytes, from, i - from);
                 from = i + 1;
-                end(lines);
+                completeLine(lines);
             }
         }
-        open.write(bytes, from, bytes.length - from);
+        partialLine.write(bytes, from, bytes.length - from);
         return lines;
     }
 
     /** What came after the last line end, if anything did. */
-    public List<byte[]> rest() {
+    public List<byte[]> remainder() {
         List<byte[]> lines = new ArrayList<>();
-        end(lines);
+        completeLine(lines);
         return lines;
     }
 
-    private void end(List<byte[]> lines) {
-        String text = open.toString(StandardCharsets.ISO_8859_1);
+    private void completeLine(List<byte[]> lines) {
+        String text = partialLine.toString(StandardCharsets.ISO_8859_1);
         if (!text.isBlank()) {
-            lines.add(open.toByteArray());
+            lines.add(partialLine.toByteArray());
         }
-        open.reset();
+        partialLine.reset();
     }
 }
--- a/src/main/java/badgermux/http/Bytes.java
+++ b/src/main/java/badgermux/http/MessageEncoder.java
@@ -5,8 +5,8 @@
 import java.nio.charset.StandardCharsets;
 
 /** Encodes messages. */
-public final class Bytes {
-    private Bytes() { }
+public final class MessageEncoder {
+    private MessageEncoder() { }
 
     /** A head, whose lines end in CRLF and whose closing empty line is added here, and a body. */
     public static ByteBuf message(CharSequence head, byte[] body) {
@@ -15,7 +15,7 @@
     }
 
     /** A request without a body. */
-    public static ByteBuf get(String target, String host) {
+    public static ByteBuf getRequest(String target, String host) {
         return message("GET " + target + " HTTP/1.1\r\nHost: " + host + "\r\n", new byte[0]);
     }
 
--- a/src/main/java/badgermux/http/Head.java
+++ b/src/main/java/badgermux/http/MessageHead.java
@@ -7,27 +7,27 @@
 import java.util.regex.Pattern;
 
 /** A message's first line and its header lines. Text is ISO 8859-1, so that each char is a byte as it came. */
-public final class Head {
-    private record Line(String name, String value, String whole) { }
+public final class MessageHead {
+    private record HeaderLine(String name, String value, String text) { }
 
-    private static final String LINE_END = "\r\n";
+    private static final String CRLF = "\r\n";
     /** Compiled once: a process that has just started interprets all its code, and compiling a pattern is a lot of it. */
     private static final Pattern STATUS_LINE = Pattern.compile("HTTP/1\\.[01] [1-5][0-9][0-9]( .*)?");
-    private static final String NO_TOKEN_CHARACTERS = "()<>@,;:\\\"/[]?={}";
+    private static final String DELIMITERS = "()<>@,;:\\\"/[]?={}";
 
-    private final String first;
-    private final List<Line> lines = new ArrayList<>();
+    private final String startLine;
+    private final List<HeaderLine> lines = new ArrayList<>();
 
-    private Head(String first) {
-        this.first = first;
+    private MessageHead(String first) {
+        this.startLine = first;
     }
 
     /** Reads a head without its closing empty line. */
-    static Head parse(String text) throws BadMessage {
+    static MessageHead parse(String text) throws InvalidMessageException {
         int end = lineEnd(text, 0);
-        Head head = new Head(text.substring(0, end));
+        MessageHead head = new MessageHead(text.substring(0, end));
         while (end < text.length()) {
-            int start = end + LINE_END.length();
+            int start = end + CRLF.length();
             end = lineEnd(text, start);
             head.addLine(text.substring(start, end));
         }
@@ -36,35 +36,35 @@
 
     /** Where the line that starts there ends: at its line end, or at the end of the text. */
     private static int lineEnd(String text, int start) {
-        int end = text.indexOf(LINE_END, start);
+        int end = text.indexOf(CRLF, start);
         return end < 0 ? text.length() : end;
     }
 
-    private void addLine(String line) throws BadMessage {
+    private void addLine(String line) throws InvalidMessageException {
         int colon = line.indexOf(':');
         if (colon <= 0 || !isToken(line.substring(0, colon))) {
-            throw new BadMessage(400, "malformed header line");
+            throw new InvalidMessageException(400, "malformed header line");
         }
-        lines.add(new Line(line.substring(0, colon), line.substring(colon + 1).strip(), line));
+        lines.add(new HeaderLine(line.substring(0, colon), line.substring(colon + 1).strip(), line));
     }
 
     private static boolean isToken(String name) {
         for (int i = 0; i < name.length(); i++) {
             char c = name.charAt(i);
-            if (c <= ' ' || c >= 127 || NO_TOKEN_CHARACTERS.indexOf(c) >= 0) {
+            if (c <= ' ' || c >= 127 || DELIMITERS.indexOf(c) >= 0) {
                 return false;
             }
         }
         return true;
     }
 
-    public String first() {
-        return first;
+    public String startLine() {
+        return startLine;
     }
 
     /** The value of a header; null where it is absent. */
     public String get(String name) {
-        for (Line line : lines) {
+        for (HeaderLine line : lines) {
             if (line.name.equalsIgnoreCase(name)) {
                 return line.value;
             }
@@ -73,9 +73,9 @@
     }
 
     /** All values of a header, in their order. */
-    public List<String> all(String name) {
+    public List<String> values(String name) {
         List<String> values = List.of();
-        for (Line line : lines) {
+        for (HeaderLine line : lines) {
             if (line.name.equalsIgnoreCase(name)) {
                 if (values.isEmpty()) {
                     values = List.of(line.value);
@@ -89,8 +89,8 @@
     }
 
     /** Whether a header's comma-separated value holds a word. */
-    public boolean has(String name, String word) {
-        for (String value : all(name)) {
+    public boolean hasListItem(String name, String word) {
+        for (String value : values(name)) {
             for (String item : value.split(",")) {
                 if (item.strip().equalsIgnoreCase(word)) {
                     return true;
@@ -101,26 +101,26 @@
     }
 
     /** Appends the header lines as they came, but for those named (in lower case). */
-    public void copyLines(StringBuilder to, Set<String> except) {
-        for (Line line : lines) {
+    public void appendHeaderLines(StringBuilder to, Set<String> except) {
+        for (HeaderLine line : lines) {
             if (!except.contains(line.name.toLowerCase(Locale.ROOT))) {
-                to.append(line.whole).append("\r\n");
+                to.append(line.text).append("\r\n");
             }
         }
     }
 
     /** The words of a request line: method, target, version. */
-    public String[] requestLine() throws BadMessage {
-        String[] words = first.split(" ", -1);
+    public String[] requestLine() throws InvalidMessageException {
+        String[] words = startLine.split(" ", -1);
         boolean version = words.length == 3 && words[2].equals("HTTP/1.1");
-        boolean visible = words.length > 1 && isVisible(words[1]);
+        boolean visible = words.length > 1 && isVisibleText(words[1]);
         if (!version || !visible || !isToken(words[0]) || words[0].isEmpty() || words[1].isEmpty()) {
-            throw new BadMessage(400, "malformed request line");
+            throw new InvalidMessageException(400, "malformed request line");
         }
         return words;
     }
 
-    private static boolean isVisible(String target) {
+    private static boolean isVisibleText(String target) {
         for (int i = 0; i < target.length(); i++) {
             if (target.charAt(i) <= ' ' || target.charAt(i) == 127) {
                 return false;
@@ -130,16 +130,16 @@
     }
 
     /** The status of a response line. */
-    public int status() throws BadMessage {
-        if (!STATUS_LINE.matcher(first).matches()) {
-            throw new BadMessage(502, "malformed status line");
+    public int status() throws InvalidMessageException {
+        if (!STATUS_LINE.matcher(startLine).matches()) {
+            throw new InvalidMessageException(502, "malformed status line");
         }
-        return Integer.parseInt(first.substring(9, 12));
+        return Integer.parseInt(startLine.substring(9, 12));
     }
 
     /** Whether the connection stays open after this message. */
-    public boolean keepsAlive() {
-        boolean old = first.startsWith("HTTP/1.0") || first.endsWith("HTTP/1.0");
-        return !has("Connection", "close") && (!old || has("Connection", "keep-alive"));
+    public boolean isKeepAlive() {
+        boolean old = startLine.startsWith("HTTP/1.0") || startLine.endsWith("HTTP/1.0");
+        return !hasListItem("Connection", "close") && (!old || hasListItem("Connection", "keep-alive"));
     }
 }
--- a/src/main/java/badgermux/http/ClientConnection.java
+++ b/src/main/java/badgermux/http/OutboundConnection.java
@@ -1,6 +1,6 @@
 package badgermux.http;
 
-import badgermux.core.AfterInput;
+import badgermux.core.AfterInputExecutor;
 import badgermux.core.Deadlines;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
@@ -17,63 +17,63 @@
 import org.tinylog.Logger;
 
 /** A connection that we opened. It carries one exchange at a time, and sends nothing twice. */
-public final class ClientConnection extends ChannelInboundHandlerAdapter implements MessageReader.Sink {
+public final class OutboundConnection extends ChannelInboundHandlerAdapter implements MessageReader.Listener {
     /** A request and what comes back. */
-    public interface Exchange extends MessageReader.Sink {
-        ByteBuf request();
+    public interface Exchange extends MessageReader.Listener {
+        ByteBuf createRequest();
 
         /** The request has left whole: told once, also where nobody waits for what comes back any more. */
-        default void written() { }
+        default void onRequestWritten() { }
 
         /** The response is whole. The connection may be used again by then, if {@link #isReusable}. */
-        void ended();
+        void onResponseEnded();
 
         /** The connection failed first, or the response made no sense; {@code written}: the request had left whole. */
-        void broken(boolean written);
+        void onConnectionFailed(boolean requestWritten);
 
         /** All bytes that have come are read, and the response goes on. */
-        default void progressed() { }
+        default void onInputProcessed() { }
     }
 
     private final Deadlines deadlines;
     private final MessageReader reader;
     private final Runnable onClose;
     private final Channel channel;
-    private final AfterInput afterInput;
-    private Deadlines.Deadline connectLimit;
+    private final AfterInputExecutor afterInput;
+    private Deadlines.Deadline connectTimeout;
     private Exchange exchange;
-    private boolean connected;
-    private boolean written;
-    private boolean reusable = true;
-    private boolean closed;
+    private boolean isConnected;
+    private boolean isRequestWritten;
+    private boolean mayBeReused = true;
+    private boolean isClosed;
 
     /** Begins to connect; {@code onClose} is run once, when the connection has ended in whatever way. */
-    public ClientConnection(EventLoopGroup loop, Deadlines deadlines, InetSocketAddress to, long connectTimeout,
+    public OutboundConnection(EventLoopGroup loop, Deadlines deadlines, InetSocketAddress to, long connectTimeout,
             int maxBody, Runnable onClose) {
         this.deadlines = deadlines;
         this.onClose = onClose;
         reader = new MessageReader(true, maxBody, this);
-        connectLimit = deadlines.after(connectTimeout, this::close);
+        this.connectTimeout = deadlines.scheduleAfter(connectTimeout, this::close);
         ChannelFuture connecting = new Bootstrap().group(loop).channel(NioSocketChannel.class).handler(this)
             .option(ChannelOption.TCP_NODELAY, true).option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 0).connect(to);
         channel = connecting.channel();
         EventLoop owner = loop.next();
-        afterInput = new AfterInput(owner);
+        afterInput = new AfterInputExecutor(owner);
         connecting.addListener(done -> {
             // Guards against a socket that could not be opened, for want of descriptors: that is told on another thread.
             if (owner.inEventLoop()) {
-                connected(done.isSuccess());
+                isConnected(done.isSuccess());
             } else {
-                owner.execute(() -> connected(done.isSuccess()));
+                owner.execute(() -> isConnected(done.isSuccess()));
             }
         });
     }
 
-    private void connected(boolean up) {
-        deadlines.cancel(connectLimit);
+    private void isConnected(boolean up) {
+        deadlines.cancel(connectTimeout);
         if (up) {
             // Guards against a request written for a client whose end lies in the same round of input as this.
-            afterInput.execute(this::writeFirst);
+            afterInput.execute(this::writeFirstRequest);
         } else {
             close();
         }
@@ -84,29 +84,29 @@
         if (exchange != null) {
             throw new IllegalStateException("a second exchange on one connection");
         }
-        if (closed) {
-            next.broken(false);
+        if (isClosed) {
+            next.onConnectionFailed(false);
             return;
         }
         exchange = next;
-        written = false;
-        if (connected) {
-            write();
+        isRequestWritten = false;
+        if (isConnected) {
+            writeRequest();
         }
     }
 
-    private void writeFirst() {
-        connected = true;
-        write();
+    private void writeFirstRequest() {
+        isConnected = true;
+        writeRequest();
     }
 
-    private void write() {
+    private void writeRequest() {
         Exchange writing = exchange;
-        if (writing != null && !closed) {
-            channel.writeAndFlush(writing.request()).addListener(done -> {
+        if (writing != null && !isClosed) {
+            channel.writeAndFlush(writing.createRequest()).addListener(done -> {
                 if (done.isSuccess()) {
-                    written |= exchange == writing;
-                    writing.written();
+                    isRequestWritten |= exchange == writing;
+                    writing.onRequestWritten();
                 } else {
                     close();
                 }
@@ -115,12 +115,12 @@
     }
 
     /** Whether there was a descriptor for it; if not, {@code onClose} is run soon, as for one that does not come up. */
-    public boolean isOpened() {
+    public boolean hasDescriptor() {
         return channel.isOpen();
     }
 
     public boolean isReusable() {
-        return reusable && !closed && exchange == null;
+        return mayBeReused && !isClosed && exchange == null;
     }
 
     /** Drops the exchange, of which nothing more is told, and the connection with it. */
@@ -131,24 +131,24 @@
 
     /** Closes; an exchange under way is broken by it. */
     public void close() {
-        if (closed) {
+        if (isClosed) {
             return;
         }
-        closed = true;
-        deadlines.cancel(connectLimit);
+        isClosed = true;
+        deadlines.cancel(connectTimeout);
         // Guards against an exception in place of all that follows: what was never opened can't be closed.
-        if (isOpened()) {
+        if (hasDescriptor()) {
             channel.close();
         }
         onClose.run();
-        breakOff();
+        failExchange();
     }
 
-    private void breakOff() {
+    private void failExchange() {
         Exchange broken = exchange;
         exchange = null;
         if (broken != null) {
-            broken.broken(written);
+            broken.onConnectionFailed(isRequestWritten);
         }
     }
 
@@ -163,44 +163,44 @@
             Exchange reading = exchange;
             boolean ended = reader.read(in);
             if (ended && exchange == reading) {
-                reusable &= written && !in.isReadable();
-                end(reading);
+                mayBeReused &= isRequestWritten && !in.isReadable();
+                endExchange(reading);
             } else if (exchange == reading) {
-                reading.progressed();
+                reading.onInputProcessed();
             }
-        } catch (BadMessage e) {
+        } catch (InvalidMessageException e) {
             close();
         } finally {
             in.release();
         }
     }
 
-    private void end(Exchange ended) {
+    private void endExchange(Exchange ended) {
         exchange = null;
-        if (!reusable) {
+        if (!mayBeReused) {
             close();
         }
-        ended.ended();
+        ended.onResponseEnded();
     }
 
-    @Override public void head(Head head) throws BadMessage {
-        reusable &= head.keepsAlive();
+    @Override public void onHead(MessageHead head) throws InvalidMessageException {
+        mayBeReused &= head.isKeepAlive();
         if (exchange != null) {
-            exchange.head(head);
+            exchange.onHead(head);
         }
     }
 
-    @Override public void body(byte[] bytes) throws BadMessage {
+    @Override public void onBody(byte[] bytes) throws InvalidMessageException {
         // What came before may have had this exchange dropped.
         if (exchange != null) {
-            exchange.body(bytes);
+            exchange.onBody(bytes);
         }
     }
 
     @Override public void channelInactive(ChannelHandlerContext ctx) {
-        if (!closed && exchange != null && reader.endOfInput()) {
-            reusable = false;
-            end(exchange);
+        if (!isClosed && exchange != null && reader.endOfInput()) {
+            mayBeReused = false;
+            endExchange(exchange);
         }
         close();
     }
--- a/src/main/java/badgermux/log/AsideWriter.java
+++ b/src/main/java/badgermux/log/AsynchronousWriter.java
@@ -11,19 +11,19 @@
 
 /**
  * Writes the log to standard error on a thread of its own. Guards against a log that nobody reads: the event loop would
- * wait for its pipe, and with it every client. Lines beyond {@link #MOST} that wait to be written are dropped, and how
+ * wait for its pipe, and with it every client. Lines beyond {@link #MAX_QUEUED_LINES} that wait to be written are dropped, and how
  * many is told in their place.
  */
-public final class AsideWriter extends AbstractFormatPatternWriter {
+public final class AsynchronousWriter extends AbstractFormatPatternWriter {
     /** A list of a thousand runners, each with its line, fits twice over. */
-    static final int MOST = 2048;
+    static final int MAX_QUEUED_LINES = 2048;
 
-    private static final ArrayBlockingQueue<String> WAITING = new ArrayBlockingQueue<>(MOST);
-    private static final AtomicLong DROPPED = new AtomicLong(), TAKEN = new AtomicLong(), WRITTEN = new AtomicLong();
-    private boolean started;
+    private static final ArrayBlockingQueue<String> QUEUE = new ArrayBlockingQueue<>(MAX_QUEUED_LINES);
+    private static final AtomicLong DROPPED = new AtomicLong(), QUEUED = new AtomicLong(), WRITTEN = new AtomicLong();
+    private boolean threadStarted;
 
     /** Made by tinylog. */
-    public AsideWriter(Map<String, String> properties) {
+    public AsynchronousWriter(Map<String, String> properties) {
         super(properties);
     }
 
@@ -32,25 +32,25 @@
     }
 
     @Override public synchronized void write(LogEntry entry) {
-        if (!started) {
-            started = true;
-            Thread thread = new Thread(AsideWriter::run, "log");
+        if (!threadStarted) {
+            threadStarted = true;
+            Thread thread = new Thread(AsynchronousWriter::writeQueuedLines, "log");
             thread.setDaemon(true);
             thread.start();
         }
-        if (WAITING.offer(render(entry))) {
-            TAKEN.incrementAndGet();
+        if (QUEUE.offer(render(entry))) {
+            QUEUED.incrementAndGet();
         } else {
             DROPPED.incrementAndGet();
         }
     }
 
-    private static void run() {
+    private static void writeQueuedLines() {
         try {
             while (true) {
-                StringBuilder lines = new StringBuilder(WAITING.take());
+                StringBuilder lines = new StringBuilder(QUEUE.take());
                 long taken = 1;
-                for (String line = WAITING.poll(); line != null && lines.length() < 8192; line = WAITING.poll()) {
+                for (String line = QUEUE.poll(); line != null && lines.length() < 8192; line = QUEUE.poll()) {
                     lines.append(line);
                     taken++;
                 }
@@ -68,9 +68,9 @@
     }
 
     /** Waits until what was logged so far is written, or for so many milliseconds: nobody may read it. */
-    public static void finish(long millis) throws InterruptedException {
+    public static void awaitWritten(long millis) throws InterruptedException {
         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
-        long all = TAKEN.get();
+        long all = QUEUED.get();
         while (WRITTEN.get() < all && System.nanoTime() < until) {
             TimeUnit.MILLISECONDS.sleep(1);
         }
--- a/src/main/java/badgermux/metrics/Metrics.java
+++ b/src/main/java/badgermux/metrics/Metrics.java
@@ -45,27 +45,27 @@
         }
     }
 
-    private static final String PREFIX = "svc.";
+    private static final String DUMP_PREFIX = "svc.";
 
-    private final List<String> classes;
-    private final long[][] endings;
+    private final List<String> classNames;
+    private final long[][] endingCounts;
     private final Map<Count, Long> counts = new EnumMap<>(Count.class);
-    private final Map<String, LongSupplier> levels = new LinkedHashMap<>();
-    private final Map<String, LongSupplier> gauges = new LinkedHashMap<>();
+    private final Map<String, LongSupplier> textGauges = new LinkedHashMap<>();
+    private final Map<String, LongSupplier> dumpGauges = new LinkedHashMap<>();
 
     /** Counts jobs of these classes, which are named by their place here from then on. */
     public Metrics(List<String> classes) {
-        this.classes = classes.stream().map(name -> name.replaceAll("[^A-Za-z0-9_-]", "_")).toList();
-        endings = new long[Ending.values().length][classes.size()];
+        this.classNames = classes.stream().map(name -> name.replaceAll("[^A-Za-z0-9_-]", "_")).toList();
+        endingCounts = new long[Ending.values().length][classes.size()];
     }
 
-    public void add(Count count) {
+    public void increment(Count count) {
         counts.merge(count, 1L, Long::sum);
     }
 
     /** A job of a class has had its final answer. */
-    public void ended(Ending ending, int jobClass) {
-        endings[ending.ordinal()][jobClass]++;
+    public void recordEnding(Ending ending, int jobClass) {
+        endingCounts[ending.ordinal()][jobClass]++;
     }
 
     public long get(Count count) {
@@ -74,53 +74,53 @@
 
     /** How many jobs of all classes have ended so. */
     public long get(Ending ending) {
-        return Arrays.stream(endings[ending.ordinal()]).sum();
+        return Arrays.stream(endingCounts[ending.ordinal()]).sum();
     }
 
     /** Has a level shown with the counts; it is read when they are asked for. */
-    public void level(String name, LongSupplier level) {
-        levels.put(name, level);
+    public void registerGauge(String name, LongSupplier level) {
+        textGauges.put(name, level);
     }
 
     /** Has a level shown in {@link #dump}, and in {@link #text} too. */
-    public void gauge(String name, LongSupplier level) {
-        gauges.put(name, level);
-        level(name, level);
+    public void registerDumpGauge(String name, LongSupplier level) {
+        dumpGauges.put(name, level);
+        registerGauge(name, level);
     }
 
     /** One {@code name value} line for each count and level. */
     public String text() {
         StringBuilder text = new StringBuilder();
         for (Count count : Count.values()) {
-            line(text, count.label, get(count));
+            appendLine(text, count.label, get(count));
         }
         for (Ending ending : Ending.values()) {
-            line(text, ending.label, get(ending));
-            for (int c = 0; c < classes.size(); c++) {
-                line(text, ending.label + "{class=\"" + classes.get(c) + "\"}", endings[ending.ordinal()][c]);
+            appendLine(text, ending.label, get(ending));
+            for (int c = 0; c < classNames.size(); c++) {
+                appendLine(text, ending.label + "{class=\"" + classNames.get(c) + "\"}", endingCounts[ending.ordinal()][c]);
             }
         }
-        levels.forEach((name, level) -> line(text, name, level.getAsLong()));
+        textGauges.forEach((name, level) -> appendLine(text, name, level.getAsLong()));
         return text.toString();
     }
 
-    private static void line(StringBuilder text, String name, long value) {
+    private static void appendLine(StringBuilder text, String name, long value) {
         text.append("badgermux_").append(name).append(' ').append(value).append('\n');
     }
 
     /** The operators' figures, in lines of the form {@code name:value|c}, or {@code |g} for a level. */
     public String dump() {
         StringBuilder text = new StringBuilder();
-        for (int c = 0; c < classes.size(); c++) {
+        for (int c = 0; c < classNames.size(); c++) {
             for (Ending ending : Ending.values()) {
-                text.append(PREFIX).append("transactions.").append(classes.get(c)).append('.')
+                text.append(DUMP_PREFIX).append("transactions.").append(classNames.get(c)).append('.')
                     .append(ending.name().toLowerCase(Locale.ROOT)).append(':')
-                    .append(endings[ending.ordinal()][c]).append("|c\n");
+                    .append(endingCounts[ending.ordinal()][c]).append("|c\n");
             }
         }
-        text.append(PREFIX).append("sends:").append(get(Count.FETCHES_WRITTEN)).append("|c\n");
-        gauges.forEach((name, level) ->
-            text.append(PREFIX).append(name).append(':').append(level.getAsLong()).append("|g\n"));
+        text.append(DUMP_PREFIX).append("sends:").append(get(Count.FETCHES_WRITTEN)).append("|c\n");
+        dumpGauges.forEach((name, level) ->
+            text.append(DUMP_PREFIX).append(name).append(':').append(level.getAsLong()).append("|g\n"));
         return text.toString();
     }
 }
--- a/src/main/java/badgermux/operator/OutFolder.java
+++ b/src/main/java/badgermux/operator/CordonStore.java
@@ -17,13 +17,13 @@
  * crash leaves the set before or after a call, and two processes that overlap don't undo each other's calls. Used by one
  * thread, which may block.
  */
-public final class OutFolder {
-    private final Path out;
-    private final Path back;
+public final class CordonStore {
+    private final Path cordoned;
+    private final Path returned;
 
-    private OutFolder(Path folder) {
-        out = folder.resolve("out");
-        back = folder.resolve("back");
+    private CordonStore(Path folder) {
+        cordoned = folder.resolve("out");
+        returned = folder.resolve("back");
     }
 
     /**
@@ -31,34 +31,34 @@
      *
      * @throws IOException where nothing can be kept there
      */
-    public static OutFolder open(Path folder) throws IOException {
-        OutFolder opened = new OutFolder(folder);
-        Files.createDirectories(opened.out);
-        Files.createDirectories(opened.back);
+    public static CordonStore open(Path folder) throws IOException {
+        CordonStore opened = new CordonStore(folder);
+        Files.createDirectories(opened.cordoned);
+        Files.createDirectories(opened.returned);
         return opened;
     }
 
     /** The runners that are out, and since when, as Unix time in milliseconds. A file whose name is no id is left alone. */
-    public Map<String, Long> out() throws IOException {
-        return read(out);
+    public Map<String, Long> cordoned() throws IOException {
+        return readFolder(cordoned);
     }
 
     /** When runners were away, as Unix times in milliseconds; those back before {@code since} are forgotten. */
-    public Map<String, long[]> back(long since) throws IOException {
+    public Map<String, long[]> returned(long since) throws IOException {
         Map<String, long[]> absences = new HashMap<>();
-        for (Map.Entry<String, Long> file : read(back).entrySet()) {
-            Path path = back.resolve(name(file.getKey()));
+        for (Map.Entry<String, Long> file : readFolder(returned).entrySet()) {
+            Path path = returned.resolve(fileName(file.getKey()));
             if (file.getValue() < since) {
                 Files.deleteIfExists(path);
             } else {
-                absences.put(file.getKey(), new long[] {from(path, file.getValue()), file.getValue()});
+                absences.put(file.getKey(), new long[] {readCordonedAt(path, file.getValue()), file.getValue()});
             }
         }
         return absences;
     }
 
     /** When a runner that is back was taken out; where that can't be read, its return counts. */
-    private static long from(Path file, long otherwise) throws IOException {
+    private static long readCordonedAt(Path file, long otherwise) throws IOException {
         try {
             return Long.parseLong(Files.readString(file).strip());
         } catch (NumberFormatException e) {
@@ -67,24 +67,24 @@
     }
 
     /** Keeps that a runner is out. */
-    public void takeOut(String id) throws IOException {
-        Path file = out.resolve(name(id));
+    public void cordon(String id) throws IOException {
+        Path file = cordoned.resolve(fileName(id));
         if (!Files.exists(file)) {
             Files.write(file, new byte[0]);
         }
     }
 
     /** Keeps that a runner has come back that was taken out at a time; a crash halfway leaves it out. */
-    public void putBack(String id, long from) throws IOException {
-        Files.writeString(back.resolve(name(id)), Long.toString(from));
-        Files.deleteIfExists(out.resolve(name(id)));
+    public void uncordon(String id, long from) throws IOException {
+        Files.writeString(returned.resolve(fileName(id)), Long.toString(from));
+        Files.deleteIfExists(cordoned.resolve(fileName(id)));
     }
 
-    private static String name(String id) {
+    private static String fileName(String id) {
         return HexFormat.of().formatHex(id.getBytes(StandardCharsets.UTF_8));
     }
 
-    private static Map<String, Long> read(Path folder) throws IOException {
+    private static Map<String, Long> readFolder(Path folder) throws IOException {
         Map<String, Long> ids = new HashMap<>();
         try (DirectoryStream<Path> files = Files.newDirectoryStream(folder)) {
             for (Path file : files) {
--- a/src/main/java/badgermux/operator/Snapshot.java
+++ b/src/main/java/badgermux/operator/Snapshot.java
@@ -22,7 +22,7 @@
  */
 public final class Snapshot {
     /** The newest form that this program reads, and the one that it writes. */
-    public static final int VERSION = 1;
+    public static final int FORMAT_VERSION = 1;
     private static final String FORMAT = "badgermux-snapshot";
 
     private final long revision;
@@ -58,7 +58,7 @@
     public String text() {
         JsonObject root = new JsonObject();
         root.addProperty("format", FORMAT);
-        root.addProperty("version", VERSION);
+        root.addProperty("version", FORMAT_VERSION);
         root.addProperty("revision", revision);
         JsonObject all = new JsonObject();
         sections.forEach(all::add);
@@ -79,9 +79,9 @@
             throw new SnapshotException("it is no snapshot: format is not " + FORMAT);
         }
         long version = number(root, "version");
-        if (version > VERSION) {
+        if (version > FORMAT_VERSION) {
             throw new SnapshotException("it was written by a newer program: version " + version + ", and this one reads "
-                + VERSION);
+                + FORMAT_VERSION);
         }
         String sum = string(root.remove("checksum"));
         if (!checksum(root).equals(sum)) {
--- a/src/main/java/badgermux/operator/SnapshotStore.java
+++ b/src/main/java/badgermux/operator/SnapshotStore.java
@@ -20,7 +20,7 @@
 public final class SnapshotStore {
     private final Path file;
     private Snapshot current;
-    private boolean told;
+    private boolean failureLogged;
 
     private SnapshotStore(Path file, Snapshot current) {
         this.file = file;
@@ -55,18 +55,18 @@
      * Makes a snapshot the current one and writes it; false where it could not be written, which the log says the first
      * time. It counts all the same.
      */
-    public boolean set(Snapshot next) {
+    public boolean replace(Snapshot next) {
         current = next;
         if (file == null) {
             return false;
         }
         try {
             write(next.text());
-            told = false;
+            failureLogged = false;
             return true;
         } catch (IOException e) {
-            if (!told) {
-                told = true;
+            if (!failureLogged) {
+                failureLogged = true;
                 Logger.warn("snapshot {} can't be written ({}); what is set counts until the program ends", file,
                     e.getClass().getSimpleName());
             }
--- a/src/main/java/badgermux/sim/Frames.java
+++ b/src/main/java/badgermux/sim/FrameCodec.java
@@ -9,72 +9,72 @@
 import java.nio.charset.StandardCharsets;
 
 /** Reads batches and writes replies: little-endian frames whose headers state their whole length. */
-final class Frames {
-    private static final int BATCH_HEADER = 16;
-    private static final int REPLY_HEADER = 4;
+final class FrameCodec {
+    private static final int BATCH_HEADER_BYTES = 16;
+    private static final int REPLY_HEADER_BYTES = 4;
     /** No batch comes near this; a larger figure is a broken header, not a reason to ask for the memory. */
-    private static final int LONGEST = 1 << 30;
+    private static final int MAX_BATCH_BYTES = 1 << 30;
 
     private final InputStream in;
     private final OutputStream out;
-    private ByteBuffer batch = buffer(1 << 16);
-    private ByteBuffer reply = buffer(1 << 16);
-    private double clockMs;
-    private int records;
+    private ByteBuffer batch = allocateBuffer(1 << 16);
+    private ByteBuffer reply = allocateBuffer(1 << 16);
+    private double clockMillis;
+    private int recordCount;
 
-    Frames(InputStream in, OutputStream out) {
+    FrameCodec(InputStream in, OutputStream out) {
         this.in = in;
         this.out = out;
     }
 
-    private static ByteBuffer buffer(int size) {
+    private static ByteBuffer allocateBuffer(int size) {
         return ByteBuffer.allocate(size).order(ByteOrder.LITTLE_ENDIAN);
     }
 
     /** Takes in the next batch; false at the end of input. */
-    boolean next() throws IOException {
+    boolean readBatch() throws IOException {
         batch.clear();
-        int got = in.readNBytes(batch.array(), 0, BATCH_HEADER);
+        int got = in.readNBytes(batch.array(), 0, BATCH_HEADER_BYTES);
         if (got == 0) {
             return false;
         }
-        if (got < BATCH_HEADER) {
+        if (got < BATCH_HEADER_BYTES) {
             throw new EOFException("input ends inside a batch header");
         }
-        clockMs = batch.getDouble();
+        clockMillis = batch.getDouble();
         int length = batch.getInt();
-        records = batch.getInt();
-        if (length < BATCH_HEADER || length > LONGEST || records < 0 || !Double.isFinite(clockMs)) {
-            throw new MalformedInput("batch header states length " + length + " and " + records + " records");
+        recordCount = batch.getInt();
+        if (length < BATCH_HEADER_BYTES || length > MAX_BATCH_BYTES || recordCount < 0 || !Double.isFinite(clockMillis)) {
+            throw new MalformedInputException("batch header states length " + length + " and " + recordCount + " records");
         }
-        int body = length - BATCH_HEADER;
+        int body = length - BATCH_HEADER_BYTES;
         if (batch.capacity() < body) {
-            batch = buffer(Math.max(body, 2 * batch.capacity()));
+            batch = allocateBuffer(Math.max(body, 2 * batch.capacity()));
         }
         if (in.readNBytes(batch.array(), 0, body) < body) {
             throw new EOFException("input ends inside a batch of " + length + " bytes");
         }
         batch.position(0).limit(body);
-        reply.clear().position(REPLY_HEADER);
+        reply.clear().position(REPLY_HEADER_BYTES);
         return true;
     }
 
-    double clockMs() {
-        return clockMs;
+    double clockMillis() {
+        return clockMillis;
     }
 
-    int records() {
-        return records;
+    int recordCount() {
+        return recordCount;
     }
 
     /** Refuses a batch that holds more bytes than its records. */
-    void expectEnd() {
+    void requireEndOfBatch() {
         if (batch.hasRemaining()) {
-            throw new MalformedInput(batch.remaining() + " bytes follow the last record of a batch");
+            throw new MalformedInputException(batch.remaining() + " bytes follow the last record of a batch");
         }
     }
 
-    void flush() throws IOException {
+    void writeReply() throws IOException {
         reply.putInt(0, reply.position());
         out.write(reply.array(), 0, reply.position());
         out.flush();
@@ -82,105 +82,105 @@
 
     // ---- Fields read
 
-    int u8() {
-        need(1);
+    int readU8() {
+        requireRemaining(1);
         return batch.get() & 0xff;
     }
 
-    int u16() {
-        need(2);
+    int readU16() {
+        requireRemaining(2);
         return batch.getShort() & 0xffff;
     }
 
-    int u32() {
-        need(4);
+    int readU32() {
+        requireRemaining(4);
         return batch.getInt();
     }
 
-    long u64() {
-        need(8);
+    long readU64() {
+        requireRemaining(8);
         return batch.getLong();
     }
 
-    double f32() {
-        need(4);
+    double readF32() {
+        requireRemaining(4);
         return batch.getFloat();
     }
 
-    double f64() {
-        need(8);
+    double readF64() {
+        requireRemaining(8);
         return batch.getDouble();
     }
 
     /** Four bytes of address and a port, kept as one number that sorts as they do. */
-    long runner() {
-        need(6);
+    long readBackend() {
+        requireRemaining(6);
         long address = Integer.reverseBytes(batch.getInt()) & 0xffffffffL;
         return address << 16 | batch.getShort() & 0xffff;
     }
 
-    String text() {
-        int length = u32();
-        need(length);
+    String readText() {
+        int length = readU32();
+        requireRemaining(length);
         String text = new String(batch.array(), batch.position(), length, StandardCharsets.UTF_8);
         batch.position(batch.position() + length);
         return text;
     }
 
     void skip(int bytes) {
-        need(bytes);
+        requireRemaining(bytes);
         batch.position(batch.position() + bytes);
     }
 
-    private void need(int bytes) {
+    private void requireRemaining(int bytes) {
         if (bytes < 0 || batch.remaining() < bytes) {
-            throw new MalformedInput("a record ends early: " + bytes + " bytes wanted, " + batch.remaining() + " left");
+            throw new MalformedInputException("a record ends early: " + bytes + " bytes wanted, " + batch.remaining() + " left");
         }
     }
 
     // ---- Fields written
 
     /** Starts an action's record. */
-    Frames action(int code, int instance) {
+    FrameCodec beginAction(int code, int instance) {
         if (reply.remaining() < 1024) {
-            reply = buffer(2 * reply.capacity()).put(reply.flip());
+            reply = allocateBuffer(2 * reply.capacity()).put(reply.flip());
         }
         reply.put((byte) code).putInt(instance);
         return this;
     }
 
-    Frames putU8(int value) {
+    FrameCodec putU8(int value) {
         reply.put((byte) value);
         return this;
     }
 
-    Frames putU16(int value) {
+    FrameCodec putU16(int value) {
         reply.putShort((short) value);
         return this;
     }
 
-    Frames putU32(int value) {
+    FrameCodec putU32(int value) {
         reply.putInt(value);
         return this;
     }
 
-    Frames putU64(long value) {
+    FrameCodec putU64(long value) {
         reply.putLong(value);
         return this;
     }
 
-    Frames putF64(double value) {
+    FrameCodec putF64(double value) {
         reply.putDouble(value);
         return this;
     }
 
-    Frames putRunner(long runner) {
+    FrameCodec putBackend(long runner) {
         reply.putInt(Integer.reverseBytes((int) (runner >>> 16))).putShort((short) runner);
         return this;
     }
 
     /** A text of at most 500 bytes, so that it fits the room that every record has. */
-    Frames putText(String text) {
+    FrameCodec putText(String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         int length = Math.min(500, bytes.length);
         reply.putShort((short) length).put(bytes, 0, length);
--- a/src/main/java/badgermux/sim/Main.java
+++ b/src/main/java/badgermux/sim/Main.java
@@ -23,9 +23,9 @@
 
     static int run(InputStream in, OutputStream out, PrintStream err) {
         try {
-            new Adapter(in, out).run();
+            new SimulatorAdapter(in, out).run();
             return 0;
-        } catch (MalformedInput | IOException e) {
+        } catch (MalformedInputException | IOException e) {
             err.println("badgermux: " + e.getMessage());
             return 2;
         }
--- a/src/main/java/badgermux/sim/MalformedInput.java
+++ b/src/main/java/badgermux/sim/MalformedInputException.java
@@ -1,10 +1,10 @@
 package badgermux.sim;
 
 /** Input that does not follow the wire's page; the message says where. */
-final class MalformedInput extends RuntimeException {
+final class MalformedInputException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    MalformedInput(String message) {
+    MalformedInputException(String message) {
         super(message);
     }
 }
--- a/src/main/java/badgermux/upgrade/Link.java
+++ b/src/main/java/badgermux/upgrade/HandoverLink.java
@@ -13,35 +13,35 @@
  * The connection between two processes of one dispatcher, lines both ways. It ends with either process, and is ended
  * where the other falls silent: each side says something ten times a second.
  */
-public final class Link extends ChannelInboundHandlerAdapter {
+public final class HandoverLink extends ChannelInboundHandlerAdapter {
     /** Who is told of it, on the event loop. */
-    public interface End {
+    public interface Listener {
         /** A line has come. */
-        void line(Link link, String line);
+        void onLine(HandoverLink link, String line);
 
         /** It has ended, in whatever way; told once. */
-        void ended(Link link);
+        void onClosed(HandoverLink link);
     }
 
     /** How often each side says something. */
-    public static final long BEAT = 100_000;
+    public static final long HEARTBEAT_MICROS = 100_000;
     /** One that says nothing for so long is taken for dead: many beats, since its core may be shared. */
-    public static final long SILENT = 1_500_000;
+    public static final long SILENCE_TIMEOUT_MICROS = 1_500_000;
     /** A list of thousands of runners fits. */
-    private static final int MAX_LINE = 4 << 20;
+    private static final int MAX_LINE_BYTES = 4 << 20;
 
     private final Deadlines deadlines;
-    private final End end;
-    private final ByteArrayOutputStream open = new ByteArrayOutputStream();
+    private final Listener listener;
+    private final ByteArrayOutputStream lineBuffer = new ByteArrayOutputStream();
     private ChannelHandlerContext context;
-    private Deadlines.Deadline silent;
-    private boolean ended;
+    private Deadlines.Deadline silenceTimeout;
+    private boolean closed;
 
     /** Made before its connection is up; it counts as silent from here on. */
-    public Link(Deadlines deadlines, End end) {
+    public HandoverLink(Deadlines deadlines, Listener end) {
         this.deadlines = deadlines;
-        this.end = end;
-        silent = deadlines.after(SILENT, this::close);
+        this.listener = end;
+        silenceTimeout = deadlines.scheduleAfter(SILENCE_TIMEOUT_MICROS, this::close);
     }
 
     @Override public void handlerAdded(ChannelHandlerContext ctx) {
@@ -50,7 +50,7 @@
 
     /** Sends a line; one to a connection that has ended is dropped. */
     public void send(String line) {
-        if (!ended && context != null && context.channel().isActive()) {
+        if (!closed && context != null && context.channel().isActive()) {
             context.writeAndFlush(Unpooled.wrappedBuffer((line + "\n").getBytes(StandardCharsets.UTF_8)));
         }
     }
@@ -60,29 +60,29 @@
         if (context != null) {
             context.close();
         }
-        over();
+        notifyClosed();
     }
 
-    private void over() {
-        if (!ended) {
-            ended = true;
-            deadlines.cancel(silent);
-            end.ended(this);
+    private void notifyClosed() {
+        if (!closed) {
+            closed = true;
+            deadlines.cancel(silenceTimeout);
+            listener.onClosed(this);
         }
     }
 
     @Override public void channelRead(ChannelHandlerContext ctx, Object message) {
         ByteBuf in = (ByteBuf) message;
-        deadlines.cancel(silent);
-        silent = ended ? null : deadlines.after(SILENT, this::close);
-        while (in.isReadable() && !ended) {
+        deadlines.cancel(silenceTimeout);
+        silenceTimeout = closed ? null : deadlines.scheduleAfter(SILENCE_TIMEOUT_MICROS, this::close);
+        while (in.isReadable() && !closed) {
             byte b = in.readByte();
             if (b == '\n') {
-                String line = open.toString(StandardCharsets.UTF_8);
-                open.reset();
-                end.line(this, line);
-            } else if (open.size() < MAX_LINE) {
-                open.write(b);
+                String line = lineBuffer.toString(StandardCharsets.UTF_8);
+                lineBuffer.reset();
+                listener.onLine(this, line);
+            } else if (lineBuffer.size() < MAX_LINE_BYTES) {
+                lineBuffer.write(b);
             } else {
                 close();
             }
@@ -97,7 +97,7 @@
     }
 
     @Override public void channelInactive(ChannelHandlerContext ctx) {
-        over();
+        notifyClosed();
     }
 
     @Override public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
--- a/src/main/java/badgermux/upgrade/HandoverState.java
+++ b/src/main/java/badgermux/upgrade/HandoverState.java
@@ -11,20 +11,20 @@
 /**
  * What a process holds that the next one goes on from, as one line of JSON.
  *
- * @param list the list, in discovery's form
- * @param out  the runners cordoned, and since when, as Unix time in milliseconds
- * @param back those that came back lately: since when they had been out, and when they came back
+ * @param backendList the list, in discovery's form
+ * @param cordoned  the runners cordoned, and since when, as Unix time in milliseconds
+ * @param returned those that came back lately: since when they had been out, and when they came back
  */
-public record HandoverState(String list, Map<String, Long> out, Map<String, long[]> back) {
+public record HandoverState(String backendList, Map<String, Long> cordoned, Map<String, long[]> returned) {
     /** The line, without its end. */
     public String encode() {
         JsonObject line = new JsonObject();
-        line.add("list", JsonParser.parseString(list));
+        line.add("list", JsonParser.parseString(backendList));
         JsonObject runners = new JsonObject();
-        out.forEach(runners::addProperty);
+        cordoned.forEach(runners::addProperty);
         line.add("out", runners);
         JsonObject returned = new JsonObject();
-        back.forEach((id, times) -> {
+        this.returned.forEach((id, times) -> {
             JsonArray two = new JsonArray();
             two.add(times[0]);
             two.add(times[1]);
--- a/src/main/java/badgermux/upgrade/LearnedStateCodec.java
+++ b/src/main/java/badgermux/upgrade/LearnedStateCodec.java
@@ -1,7 +1,7 @@
 package badgermux.upgrade;
 
-import badgermux.decide.Dispatch.Heritage;
-import badgermux.decide.Dispatch.Push;
+import badgermux.decide.DispatchPolicy.LearnedState;
+import badgermux.decide.DispatchPolicy.SentWork;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
@@ -15,17 +15,17 @@
     private LearnedStateCodec() { }
 
     /** The line, without its end; {@code of} is the fingerprint of the settings that it was learnt under. */
-    public static String encode(Heritage left, String of) {
+    public static String encode(LearnedState left, String of) {
         JsonArray learnt = new JsonArray();
-        for (double figure : left.learnt()) {
+        for (double figure : left.statistics()) {
             learnt.add(Double.isFinite(figure) ? figure : 0);
         }
         JsonArray pushes = new JsonArray();
-        for (Push push : left.pushes()) {
+        for (SentWork push : left.recentSends()) {
             JsonArray one = new JsonArray();
-            one.add(push.worker());
-            one.add(push.at());
-            one.add(push.work());
+            one.add(push.backendId());
+            one.add(push.sentAtMicros());
+            one.add(push.slotMicros());
             pushes.add(one);
         }
         JsonObject line = new JsonObject();
@@ -36,7 +36,7 @@
     }
 
     /** What {@link #encode} made the line of; an exception where it made none such, or under other settings than these. */
-    public static Heritage decode(String line, String of) {
+    public static LearnedState decode(String line, String of) {
         try {
             JsonObject from = JsonParser.parseString(line).getAsJsonObject();
             // Guards against figures of another customer, or of a configuration before: as many may stand for others.
@@ -44,12 +44,12 @@
                 throw new JsonParseException("it was learnt under other settings");
             }
             double[] learnt = from.getAsJsonArray("learnt").asList().stream().mapToDouble(JsonElement::getAsDouble).toArray();
-            List<Push> pushes = new ArrayList<>();
+            List<SentWork> pushes = new ArrayList<>();
             for (JsonElement push : from.getAsJsonArray("pushes")) {
                 JsonArray one = push.getAsJsonArray();
-                pushes.add(new Push(one.get(0).getAsLong(), one.get(1).getAsLong(), one.get(2).getAsDouble()));
+                pushes.add(new SentWork(one.get(0).getAsLong(), one.get(1).getAsLong(), one.get(2).getAsDouble()));
             }
-            return new Heritage(learnt, pushes);
+            return new LearnedState(learnt, pushes);
         } catch (RuntimeException e) {
             throw new JsonParseException("no heritage: " + e.getMessage());
         }
--- a/src/main/java/badgermux/upgrade/LearnedStateFile.java
+++ b/src/main/java/badgermux/upgrade/LearnedStateFile.java
@@ -1,6 +1,6 @@
 package badgermux.upgrade;
 
-import badgermux.decide.Dispatch.Heritage;
+import badgermux.decide.DispatchPolicy.LearnedState;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
 import java.io.IOException;
@@ -17,12 +17,12 @@
  */
 public final class LearnedStateFile {
     /** Free slots and loads of a minute ago tell nothing; in milliseconds. */
-    static final long MOST_AGE = 60_000;
+    static final long MAX_AGE_MILLIS = 60_000;
     /** More than any heritage takes; a larger file is none of ours. */
-    private static final long MOST_BYTES = 4 << 20;
+    private static final long MAX_FILE_BYTES = 4 << 20;
 
     private final Path file;
-    private final String of;
+    private final String settingsFingerprint;
 
     /**
      * Names the file; nothing is read or made yet.
@@ -32,7 +32,7 @@
      */
     public LearnedStateFile(Path folder, String of) {
         file = folder.resolve("learnt");
-        this.of = of;
+        this.settingsFingerprint = of;
     }
 
     /**
@@ -41,19 +41,19 @@
      *
      * @param now Unix time in milliseconds
      */
-    public Heritage read(long now) {
+    public LearnedState read(long now) {
         try {
-            if (!Files.isRegularFile(file) || Files.size(file) > MOST_BYTES) {
+            if (!Files.isRegularFile(file) || Files.size(file) > MAX_FILE_BYTES) {
                 return null;
             }
             String[] lines = Files.readString(file).split("\n");
             JsonObject head = JsonParser.parseString(lines[0]).getAsJsonObject();
             long age = now - head.get("at").getAsLong();
-            if (lines.length < 2 || !head.get("of").getAsString().equals(of) || age < 0 || age > MOST_AGE) {
+            if (lines.length < 2 || !head.get("of").getAsString().equals(settingsFingerprint) || age < 0 || age > MAX_AGE_MILLIS) {
                 return null;
             }
-            Heritage left = LearnedStateCodec.decode(lines[1], of);
-            return head.get("ended").getAsBoolean() ? left : new Heritage(left.learnt(), null);
+            LearnedState left = LearnedStateCodec.decode(lines[1], settingsFingerprint);
+            return head.get("ended").getAsBoolean() ? left : new LearnedState(left.statistics(), null);
         } catch (IOException | RuntimeException e) {
             // Guards against a start that fails for it: nothing is learnt from a file that can't be read.
             Logger.warn("what the process before has learnt can't be read: {}", e.toString());
@@ -68,14 +68,14 @@
      * @param ended whether this process sends nothing any more
      * @throws IOException where it can't be kept; the file before stays
      */
-    public void write(Heritage left, boolean ended, long now) throws IOException {
+    public void write(LearnedState left, boolean ended, long now) throws IOException {
         JsonObject head = new JsonObject();
-        head.addProperty("of", of);
+        head.addProperty("of", settingsFingerprint);
         head.addProperty("at", now);
         head.addProperty("ended", ended);
         Files.createDirectories(file.getParent());
         Path next = file.resolveSibling("learnt.new");
-        Files.write(next, (head + "\n" + LearnedStateCodec.encode(left, of) + "\n").getBytes(StandardCharsets.UTF_8));
+        Files.write(next, (head + "\n" + LearnedStateCodec.encode(left, settingsFingerprint) + "\n").getBytes(StandardCharsets.UTF_8));
         Files.move(next, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     }
 }
