--- a/src/main/java/badgermux/zone/Zone.java
+++ b/src/main/java/badgermux/zone/Zone.java
@@ -7,84 +7,84 @@
 
 /** One zone as one dispatcher sees it: its evidence, its standing, and the work that went there. */
 final class Zone {
-    private static final int BUCKETS = 8;
+    private static final int BUCKET_COUNT = 8;
 
-    final int number;
+    final int index;
     final String name;
-    Standing standing = Standing.WHOLE;
+    ZoneHealth health = ZoneHealth.WHOLE;
     String evidence = "";
-    long since;
+    long healthSince;
     /** The last sign of life of any of its nodes. */
-    long aliveAt = Node.NEVER;
-    int losses;
-    long lostAt = Node.NEVER;
-    int stage;
-    int good;
-    int badInStage;
-    boolean open;
+    long lastAliveAt = ZoneBackend.NEVER;
+    int lossCount;
+    long lastLostAt = ZoneBackend.NEVER;
+    int returnStage;
+    int successesInStage;
+    int failuresInStage;
+    boolean nextTierOpen;
     /** Nodes that the list holds to be ready, and the most of them in the last while. */
-    int ready;
-    double usual;
-    double slotSum;
-    int slotCount;
+    int readyCount;
+    double usualReadyCount;
+    double reportedSlotSum;
+    int reportingBackendCount;
     /** All its nodes, and where sampling has come to. */
-    final List<Node> members = new ArrayList<>();
-    int next;
-    long sampledAt = Node.NEVER;
+    final List<ZoneBackend> backends = new ArrayList<>();
+    int lastSampleIndex;
+    long lastSampledAt = ZoneBackend.NEVER;
     /** Nodes with a failure since their last sign of life. */
-    final Set<Node> failing = new LinkedHashSet<>();
+    final Set<ZoneBackend> failingBackends = new LinkedHashSet<>();
     /** Slots of ours at work there, its usual level, and those among them that came from outside. */
-    double inFlight;
-    double usualInFlight;
-    double spilled;
+    double slotsInFlight;
+    double usualSlotsInFlight;
+    double spilledSlots;
     /** Slot-seconds that may still be spilled there. */
-    double credit;
-    long spills;
-    long refusals;
-    long trialAt = Node.NEVER;
-    private final int[] alive = new int[BUCKETS];
-    private long bucket;
+    double spillCredit;
+    long spillCount;
+    long refusalCount;
+    long lastTrialAt = ZoneBackend.NEVER;
+    private final int[] recordAlive = new int[BUCKET_COUNT];
+    private long latestBucket;
 
     Zone(int number, String name) {
-        this.number = number;
+        this.index = number;
         this.name = name;
     }
 
     /** A node gave a sign of life; each counts once for each span of evidence. */
-    void alive(long now, Node node, long span) {
-        long at = turn(now, span);
-        long before = node.aliveAt == Node.NEVER ? -BUCKETS : node.aliveAt / (span / BUCKETS);
-        if (at - before < BUCKETS && before >= 0) {
-            alive[(int) Math.floorMod(before, (long) BUCKETS)]--;
+    void recordAlive(long now, ZoneBackend node, long span) {
+        long at = advanceBuckets(now, span);
+        long before = node.lastAliveAt == ZoneBackend.NEVER ? -BUCKET_COUNT : node.lastAliveAt / (span / BUCKET_COUNT);
+        if (at - before < BUCKET_COUNT && before >= 0) {
+            recordAlive[(int) Math.floorMod(before, (long) BUCKET_COUNT)]--;
         }
-        alive[(int) Math.floorMod(at, (long) BUCKETS)]++;
+        recordAlive[(int) Math.floorMod(at, (long) BUCKET_COUNT)]++;
     }
 
-    private long turn(long now, long span) {
-        long at = now / (span / BUCKETS);
-        for (long b = Math.max(bucket + 1, at - BUCKETS + 1); b <= at; b++) {
-            alive[(int) Math.floorMod(b, (long) BUCKETS)] = 0;
+    private long advanceBuckets(long now, long span) {
+        long at = now / (span / BUCKET_COUNT);
+        for (long b = Math.max(latestBucket + 1, at - BUCKET_COUNT + 1); b <= at; b++) {
+            recordAlive[(int) Math.floorMod(b, (long) BUCKET_COUNT)] = 0;
         }
-        bucket = Math.max(bucket, at);
+        latestBucket = Math.max(latestBucket, at);
         return at;
     }
 
     /** How many nodes gave a sign of life within the span. */
-    int aliveLately(long now, long span) {
-        turn(now, span);
+    int countAlive(long now, long span) {
+        advanceBuckets(now, span);
         int sum = 0;
-        for (int count : alive) {
+        for (int count : recordAlive) {
             sum += count;
         }
         return sum;
     }
 
-    double slotsOf(Node node, double otherwise) {
-        return node.slots > 0 ? node.slots : slotCount > 0 ? slotSum / slotCount : otherwise;
+    double estimatedSlots(ZoneBackend node, double otherwise) {
+        return node.reportedSlots > 0 ? node.reportedSlots : reportingBackendCount > 0 ? reportedSlotSum / reportingBackendCount : otherwise;
     }
 
     /** The slots of all nodes that are of use now. */
-    double slots(int silent, double otherwise) {
-        return Math.max(0, ready - silent) * (slotCount > 0 ? slotSum / slotCount : otherwise);
+    double usableSlots(int silent, double otherwise) {
+        return Math.max(0, readyCount - silent) * (reportingBackendCount > 0 ? reportedSlotSum / reportingBackendCount : otherwise);
     }
 }
--- a/src/main/java/badgermux/zone/Node.java
+++ b/src/main/java/badgermux/zone/ZoneBackend.java
@@ -1,34 +1,34 @@
 package badgermux.zone;
 
 /** What is known of a node beyond the list. */
-final class Node {
+final class ZoneBackend {
     static final long NEVER = Long.MIN_VALUE / 4;
 
     final long id;
     int zone;
     boolean ready;
-    int listed;
+    int lastListUpdate;
     /** The last sign of life, and the first of a row of failures since. */
-    long aliveAt = NEVER;
-    long badAt = NEVER;
-    int bad;
+    long lastAliveAt = NEVER;
+    long firstFailureAt = NEVER;
+    int consecutiveFailures;
     /** What the failures since the last sign of life were: connects, breaks, silence. */
-    int connects;
-    int breaks;
-    int silences;
+    int connectFailures;
+    int resets;
+    int timeouts;
     /** When it gave its first sign of life after its zone had gone dark, or after we began. */
-    long backAt = NEVER;
-    long askedAt = NEVER;
-    double slots;
-    int out;
+    long recoveredAt = NEVER;
+    long lastProbedAt = NEVER;
+    double reportedSlots;
+    int attemptsInFlight;
 
-    Node(long id, int zone) {
+    ZoneBackend(long id, int zone) {
         this.id = id;
         this.zone = zone;
     }
 
     /** Whether it has failed since its last sign of life, hard enough or often enough to count. */
     boolean isSilent(long now) {
-        return bad > 0 && now - aliveAt > 400_000 && (bad > 1 || connects + breaks > 0);
+        return consecutiveFailures > 0 && now - lastAliveAt > 400_000 && (consecutiveFailures > 1 || connectFailures + resets > 0);
     }
 }
--- a/src/main/java/badgermux/zone/Standing.java
+++ b/src/main/java/badgermux/zone/ZoneHealth.java
@@ -1,7 +1,7 @@
 package badgermux.zone;
 
 /** What is held of a zone. */
-public enum Standing {
+public enum ZoneHealth {
     /** Its nodes answer. */
     WHOLE,
     /** Some do not; what they can't take goes on to the next tier. */
--- a/src/main/java/badgermux/zone/ZonePolicy.java
+++ b/src/main/java/badgermux/zone/ZonePolicy.java
@@ -1,11 +1,11 @@
 package badgermux.zone;
 
-import badgermux.decide.Dispatch;
-import badgermux.decide.Dispatch.Job;
-import badgermux.decide.Dispatch.ListUpdate;
-import badgermux.decide.Dispatch.Outcome;
-import badgermux.decide.Dispatch.Worker;
-import badgermux.decide.Dispatch.WorkerState;
+import badgermux.decide.DispatchPolicy;
+import badgermux.decide.DispatchPolicy.Request;
+import badgermux.decide.DispatchPolicy.ListUpdate;
+import badgermux.decide.DispatchPolicy.Outcome;
+import badgermux.decide.DispatchPolicy.Backend;
+import badgermux.decide.DispatchPolicy.BackendState;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -20,238 +20,238 @@
  * reservation for the classes of more worth (Miller, "A queueing reward system with several customer classes", 1969). A
  * return goes by stages of the work that the zone used to get. Single-threaded; times come in.
  */
-public final class ZonePolicy implements Dispatch.Zones {
+public final class ZonePolicy implements DispatchPolicy.ZoneLimits {
     /** What a zone's standing rests on, for operators. */
-    public record View(String zone, Standing standing, String evidence, long since, int stage, int losses, int ready,
-            double usual, int silent, double inFlight, double spilled, double bound, boolean open, long spills,
-            long refusals) { }
+    public record Status(String zone, ZoneHealth health, String evidence, long healthSince, int returnStage, int lossCount, int readyCount,
+            double usualReadyCount, int silentCount, double slotsInFlight, double spilledSlots, double spillBound, boolean isNextTierOpen, long spillCount,
+            long refusalCount) { }
 
-    private static final double NEW = 0.02;
-    private static final int PROBES = 4;
+    private static final double SMOOTHING_WEIGHT = 0.02;
+    private static final int PROBES_PER_ROUND = 4;
     /** A job may be so many deviations longer than the mean: 1 in 100 of a gamma shape of 2 is longer. */
-    private static final double TAIL = 3.5;
+    private static final double LARGE_REQUEST_DEVIATIONS = 3.5;
 
     /** A send that is out, or timed out and may still be at work. */
-    private record Sent(int zone, double slots, double work, boolean spill) { }
+    private record SentAttempt(int zone, double slots, double expectedSlotSeconds, boolean isSpill) { }
 
-    private record Zombie(long until, Sent sent) { }
+    private record AbandonedAttempt(long countedUntil, SentAttempt attempt) { }
 
     private final ZoneSettings s;
     private final Zone[] zones;
-    private final double[] kept;
+    private final double[] spillReserves;
     /** For each class the mean run for a slot, the mean of its square, and how many were counted. */
-    private final double[][] runs;
-    private final Map<Long, Node> nodes = new HashMap<>();
-    private final Map<Long, List<Sent>> sent = new HashMap<>();
-    private final ArrayDeque<Zombie> zombies = new ArrayDeque<>();
+    private final double[][] runStatistics;
+    private final Map<Long, ZoneBackend> backends = new HashMap<>();
+    private final Map<Long, List<SentAttempt>> sent = new HashMap<>();
+    private final ArrayDeque<AbandonedAttempt> abandonedAttempts = new ArrayDeque<>();
     private final ArrayDeque<String> news = new ArrayDeque<>();
-    private long bornAt = Node.NEVER;
-    private long roundAt;
-    private int lists;
-    private long guarded;
+    private long firstListAt = ZoneBackend.NEVER;
+    private long lastRoundAt;
+    private int listUpdateCount;
+    private long correctedListCount;
 
     public ZonePolicy(ZoneSettings settings) {
-        s = settings.checked();
-        zones = new Zone[s.zones.size()];
+        s = settings.validated();
+        zones = new Zone[s.zoneNames.size()];
         for (int z = 0; z < zones.length; z++) {
-            zones[z] = new Zone(z, s.zones.get(z));
+            zones[z] = new Zone(z, s.zoneNames.get(z));
         }
-        kept = new double[s.worths.length];
-        runs = new double[s.worths.length][3];
-        for (int c = 0; c < kept.length; c++) {
+        spillReserves = new double[s.classWorths.length];
+        runStatistics = new double[s.classWorths.length][3];
+        for (int c = 0; c < spillReserves.length; c++) {
             int better = 0;
-            for (double worth : s.worths) {
-                better += worth > s.worths[c] ? 1 : 0;
+            for (double worth : s.classWorths) {
+                better += worth > s.classWorths[c] ? 1 : 0;
             }
-            kept[c] = kept.length < 2 ? 0 : s.spillReserve * better / (kept.length - 1);
+            spillReserves[c] = spillReserves.length < 2 ? 0 : s.spillReserveShare * better / (spillReserves.length - 1);
         }
     }
 
     // ---- What the module asks
 
-    @Override public int tiers() {
+    @Override public int tierCount() {
         return s.tierCount();
     }
 
-    @Override public int tier(int jobClass, int zone) {
+    @Override public int tierOf(int jobClass, int zone) {
         return zone >= zones.length ? -1 : s.tier(jobClass, zone);
     }
 
     /** Whether a job may look for a node of this tier now; asked before any node is looked at. */
-    @Override public boolean opens(long now, Job job, boolean repeatable, int tier) {
+    @Override public boolean isTierOpen(long now, Request job, boolean repeatable, int tier) {
         boolean some = false;
         boolean pressed = true;
         for (Zone zone : zones) {
-            int of = tier(job.jobClass(), zone.number);
+            int of = tierOf(job.classIndex(), zone.index);
             if (of == tier) {
-                some |= tier == 0 ? zone.standing != Standing.DARK || isTrialDue(now, zone, repeatable)
-                    : zone.standing == Standing.WHOLE || zone.standing == Standing.DEGRADED;
+                some |= tier == 0 ? zone.health != ZoneHealth.DARK || isTrialDue(now, zone, repeatable)
+                    : zone.health == ZoneHealth.WHOLE || zone.health == ZoneHealth.DEGRADED;
             } else if (of >= 0 && of < tier) {
-                pressed &= s.openAt >= 1 || zone.open;
+                pressed &= s.nextTierOpenShare >= 1 || zone.nextTierOpen;
             }
         }
         return some && pressed;
     }
 
     /** Whether a node may get the job; {@code load} is minus its free slots, as the module holds them to be. */
-    @Override public boolean admits(long now, Job job, boolean repeatable, int attempts, Worker worker, double load,
+    @Override public boolean admits(long now, Request job, boolean repeatable, int attempts, Backend worker, double load,
             int tier) {
         Zone zone = zones[worker.zone()];
-        Node node = nodes.get(worker.id());
+        ZoneBackend node = backends.get(worker.id());
         if (node == null) {
             return true;
         }
-        if (!isSafe(now, zone, node, job, startedAt(worker))) {
+        if (!isSafeForColdBackend(now, zone, node, job, believedStartMicros(worker))) {
             return false;
         }
-        boolean home = worker.zone() == s.own || tier == 0;
+        boolean home = worker.zone() == s.ownZone || tier == 0;
         if (!home) {
-            return spills(zone, job, node, load);
+            return maySpill(zone, job, node, load);
         }
-        return switch (zone.standing) {
-            case DARK -> attempts == 0 && node.out == 0 && isTrialDue(now, zone, repeatable);
-            case RETURNING -> node.backAt >= zone.lostAt && zone.inFlight < limit(zone)
+        return switch (zone.health) {
+            case DARK -> attempts == 0 && node.attemptsInFlight == 0 && isTrialDue(now, zone, repeatable);
+            case RETURNING -> node.recoveredAt >= zone.lastLostAt && zone.slotsInFlight < returningSlotLimit(zone)
                 && free(node, load) >= job.slots();
-            default -> isKnown(now, node) || node.out == 0;
+            default -> isKnown(now, node) || node.attemptsInFlight == 0;
         };
     }
 
     /** What one dispatcher may have at work in a returning zone: a part of what it usually had. */
-    private double limit(Zone zone) {
-        double usual = zone.usualInFlight > 0 ? zone.usualInFlight : zone.slots(0, s.slotsPerNode) / s.dispatchers;
-        return Math.max(1, s.stages[zone.stage] * usual * 1.3);
+    private double returningSlotLimit(Zone zone) {
+        double usual = zone.usualSlotsInFlight > 0 ? zone.usualSlotsInFlight : zone.usableSlots(0, s.defaultSlotsPerBackend) / s.dispatcherCount;
+        return Math.max(1, s.returnStageShares[zone.returnStage] * usual * 1.3);
     }
 
-    private boolean spills(Zone zone, Job job, Node node, double load) {
-        if (zone.standing == Standing.DARK || zone.standing == Standing.RETURNING) {
+    private boolean maySpill(Zone zone, Request job, ZoneBackend node, double load) {
+        if (zone.health == ZoneHealth.DARK || zone.health == ZoneHealth.RETURNING) {
             return false;
         }
-        double leaves = s.spillLeaves * zone.slotsOf(node, s.slotsPerNode);
-        return hasRoom(zone, job) && free(node, load) - job.slots() >= leaves;
+        double leaves = s.spillHeadroomShare * zone.estimatedSlots(node, s.defaultSlotsPerBackend);
+        return hasSpillRoom(zone, job) && free(node, load) - job.slots() >= leaves;
     }
 
     /** Free slots; where no report ever came, what our own work leaves of the slots that a node is taken to have. */
-    private double free(Node node, double load) {
-        return node.slots > 0 ? -load : s.slotsPerNode - load;
+    private double free(ZoneBackend node, double load) {
+        return node.reportedSlots > 0 ? -load : s.defaultSlotsPerBackend - load;
     }
 
     /** Slots of a zone that this dispatcher may hold from outside. */
-    private double bound(Zone zone) {
-        int home = Math.max(1, s.dispatchers / zones.length);
-        int senders = zone.number == s.own ? s.dispatchers : Math.max(1, s.dispatchers - home);
-        return s.spillShare * zone.slots(silent(zone, roundAt), s.slotsPerNode) / senders;
+    private double spillBound(Zone zone) {
+        int home = Math.max(1, s.dispatcherCount / zones.length);
+        int senders = zone.index == s.ownZone ? s.dispatcherCount : Math.max(1, s.dispatcherCount - home);
+        return s.maxSpillShare * zone.usableSlots(countSilent(zone, lastRoundAt), s.defaultSlotsPerBackend) / senders;
     }
 
     /** Few trials: a job that may be repeated, first try, a second and a dispatcher at a time, spread by its number. */
     private boolean isTrialDue(long now, Zone zone, boolean repeatable) {
-        boolean turn = Math.floorMod(now / 1_000_000, (long) s.dispatchers) == s.index || s.dispatchers == 1;
-        return repeatable && turn && now - zone.since >= hold(zone) && now - zone.trialAt >= 1_000_000;
+        boolean turn = Math.floorMod(now / 1_000_000, (long) s.dispatcherCount) == s.dispatcherIndex || s.dispatcherCount == 1;
+        return repeatable && turn && now - zone.healthSince >= holdMicros(zone) && now - zone.lastTrialAt >= 1_000_000;
     }
 
     /** After our own start, or its zone's loss, nothing is known of a node but that the list has it. */
-    private boolean isKnown(long now, Node node) {
-        return zones[node.zone].lostAt != Node.NEVER ? node.backAt >= zones[node.zone].lostAt
-            : node.backAt != Node.NEVER || now - bornAt >= s.learnsFor;
+    private boolean isKnown(long now, ZoneBackend node) {
+        return zones[node.zone].lastLostAt != ZoneBackend.NEVER ? node.recoveredAt >= zones[node.zone].lastLostAt
+            : node.recoveredAt != ZoneBackend.NEVER || now - firstListAt >= s.learningMicros;
     }
 
     /**
      * A node that came back from the dark is taken to be cold from its first sign of life on, and one that has given none
      * since to start just now: the list tells of a start seconds late.
      */
-    @Override public long startedAt(Worker worker) {
-        Node node = nodes.get(worker.id());
-        if (node == null || zones[node.zone].lostAt == Node.NEVER) {
-            return worker.startedAt();
+    @Override public long believedStartMicros(Backend worker) {
+        ZoneBackend node = backends.get(worker.id());
+        if (node == null || zones[node.zone].lastLostAt == ZoneBackend.NEVER) {
+            return worker.startedAtMicros();
         }
-        return Math.max(worker.startedAt(), node.backAt >= zones[node.zone].lostAt ? node.backAt : roundAt);
+        return Math.max(worker.startedAtMicros(), node.recoveredAt >= zones[node.zone].lastLostAt ? node.recoveredAt : lastRoundAt);
     }
 
     /**
      * Whether a job that no node may take is given up at once: where its own zone is lost or coming back. Held back it
      * would only wait behind others for the same few slots; its client is told when to come back.
      */
-    @Override public boolean givesUp(long now, Job job) {
+    @Override public boolean refusesUnplaced(long now, Request job) {
         for (Zone zone : zones) {
-            if (tier(job.jobClass(), zone.number) == 0
-                    && (zone.standing == Standing.WHOLE || zone.standing == Standing.DEGRADED)) {
+            if (tierOf(job.classIndex(), zone.index) == 0
+                    && (zone.health == ZoneHealth.WHOLE || zone.health == ZoneHealth.DEGRADED)) {
                 return false;
             }
         }
-        zones[s.own].refusals++;
+        zones[s.ownZone].refusalCount++;
         return true;
     }
 
-    private boolean hasRoom(Zone zone, Job job) {
-        double reserve = job.jobClass() < kept.length ? kept[job.jobClass()] : 0;
-        return zone.spilled < bound(zone) * (1 - reserve) && zone.credit > 0;
+    private boolean hasSpillRoom(Zone zone, Request job) {
+        double reserve = job.classIndex() < spillReserves.length ? spillReserves[job.classIndex()] : 0;
+        return zone.spilledSlots < spillBound(zone) * (1 - reserve) && zone.spillCredit > 0;
     }
 
     /**
      * Whether one job that is larger than most of its class could still not fell a cold node by itself: no budget by means
      * holds against a single job of many times the mean.
      */
-    private boolean isSafe(long now, Zone zone, Node node, Job job, long startedAt) {
+    private boolean isSafeForColdBackend(long now, Zone zone, ZoneBackend node, Request job, long startedAt) {
         long age = now - startedAt;
-        if (startedAt == 0 || age >= s.coldFor) {
+        if (startedAt == 0 || age >= s.warmUpMicros) {
             return true;
         }
-        double[] run = job.jobClass() < runs.length ? runs[job.jobClass()] : null;
+        double[] run = job.classIndex() < runStatistics.length ? runStatistics[job.classIndex()] : null;
         if (run == null || run[2] < 1) {
             return false;
         }
-        double large = (run[0] + TAIL * Math.sqrt(Math.max(0, run[1] - run[0] * run[0]))) * job.slots();
-        double warmth = s.coldShare + (1 - s.coldShare) * age / Math.max(1, s.coldFor);
-        return large <= s.fallMultiple * warmth * zone.slotsOf(node, s.slotsPerNode) * s.fallWindow / 1e6;
+        double large = (run[0] + LARGE_REQUEST_DEVIATIONS * Math.sqrt(Math.max(0, run[1] - run[0] * run[0]))) * job.slots();
+        double warmth = s.coldCapacityShare + (1 - s.coldCapacityShare) * age / Math.max(1, s.warmUpMicros);
+        return large <= s.overloadMultiple * warmth * zone.estimatedSlots(node, s.defaultSlotsPerBackend) * s.overloadWindowMicros / 1e6;
     }
 
     // ---- What it is told
 
-    @Override public void listed(long now, ListUpdate update, List<Worker> list) {
-        if (bornAt == Node.NEVER) {
-            bornAt = now;
+    @Override public void backendsListed(long now, ListUpdate update, List<Backend> list) {
+        if (firstListAt == ZoneBackend.NEVER) {
+            firstListAt = now;
             for (Zone zone : zones) {
-                zone.since = now;
+                zone.healthSince = now;
             }
         }
-        lists++;
-        for (Worker worker : list) {
+        listUpdateCount++;
+        for (Backend worker : list) {
             if (worker.zone() < 0 || worker.zone() >= zones.length) {
                 continue;
             }
-            Node node = nodes.computeIfAbsent(worker.id(), id -> {
-                Node made = new Node(id, worker.zone());
-                zones[worker.zone()].members.add(made);
+            ZoneBackend node = backends.computeIfAbsent(worker.id(), id -> {
+                ZoneBackend made = new ZoneBackend(id, worker.zone());
+                zones[worker.zone()].backends.add(made);
                 return made;
             });
-            node.listed = lists;
-            ready(node, worker.state() == WorkerState.READY);
+            node.lastListUpdate = listUpdateCount;
+            setReady(node, worker.state() == BackendState.READY);
         }
         if (update != ListUpdate.DELTA && update != ListUpdate.FAILED) {
-            nodes.values().stream().filter(node -> node.listed != lists).forEach(node -> ready(node, false));
+            backends.values().stream().filter(node -> node.lastListUpdate != listUpdateCount).forEach(node -> setReady(node, false));
         }
-        nodes.values().removeIf(node -> !node.ready && node.out == 0 && now - node.aliveAt > s.forgetsAfter
-            && leaves(node));
+        backends.values().removeIf(node -> !node.ready && node.attemptsInFlight == 0 && now - node.lastAliveAt > s.lossMemoryMicros
+            && removeFromZone(node));
         for (Zone zone : zones) {
-            zone.usual = Math.max(zone.usual, zone.ready);
+            zone.usualReadyCount = Math.max(zone.usualReadyCount, zone.readyCount);
         }
     }
 
-    private boolean leaves(Node node) {
-        zones[node.zone].failing.remove(node);
-        zones[node.zone].members.remove(node);
-        if (node.slots > 0) {
-            zones[node.zone].slotSum -= node.slots;
-            zones[node.zone].slotCount--;
+    private boolean removeFromZone(ZoneBackend node) {
+        zones[node.zone].failingBackends.remove(node);
+        zones[node.zone].backends.remove(node);
+        if (node.reportedSlots > 0) {
+            zones[node.zone].reportedSlotSum -= node.reportedSlots;
+            zones[node.zone].reportingBackendCount--;
         }
         return true;
     }
 
-    private void ready(Node node, boolean is) {
+    private void setReady(ZoneBackend node, boolean is) {
         if (node.ready != is) {
-            zones[node.zone].ready += is ? 1 : -1;
+            zones[node.zone].readyCount += is ? 1 : -1;
             node.ready = is;
             if (!is) {
-                zones[node.zone].failing.remove(node);
+                zones[node.zone].failingBackends.remove(node);
             }
         }
     }
@@ -260,201 +260,201 @@
      * A whole list that leaves out more than half of what was ready, without a word of draining, is likely wrong: what
      * answers is kept in it. Off unless set: where leaving a list means being gone, this would break that rule.
      */
-    public List<Worker> guard(long now, ListUpdate update, List<Worker> list, Map<Long, Worker> before) {
-        if (!s.guardsList || update != ListUpdate.FULL || before.isEmpty()) {
+    public List<Backend> keepUnlistedBackends(long now, ListUpdate update, List<Backend> list, Map<Long, Backend> before) {
+        if (!s.keepsUnlistedBackends || update != ListUpdate.FULL || before.isEmpty()) {
             return list;
         }
-        List<Worker> missing = new ArrayList<>(before.values());
+        List<Backend> missing = new ArrayList<>(before.values());
         java.util.Set<Long> named = new java.util.HashSet<>();
         list.forEach(worker -> named.add(worker.id()));
-        missing.removeIf(worker -> worker.state() != WorkerState.READY || named.contains(worker.id()));
-        long wereReady = before.values().stream().filter(w -> w.state() == WorkerState.READY).count();
+        missing.removeIf(worker -> worker.state() != BackendState.READY || named.contains(worker.id()));
+        long wereReady = before.values().stream().filter(w -> w.state() == BackendState.READY).count();
         if (2L * missing.size() <= wereReady) {
             return list;
         }
         missing.removeIf(worker -> {
-            Node node = nodes.get(worker.id());
-            return node == null || node.bad > 0 || now - node.aliveAt > s.evidenceFor;
+            ZoneBackend node = backends.get(worker.id());
+            return node == null || node.consecutiveFailures > 0 || now - node.lastAliveAt > s.evidenceWindowMicros;
         });
         if (!missing.isEmpty()) {
-            guarded++;
+            correctedListCount++;
             news.add(String.format(Locale.ROOT, "the list left out more than half of %d nodes at once; %d of them answer "
                 + "and are used on", wereReady, missing.size()));
         }
-        List<Worker> kept = new ArrayList<>(list);
+        List<Backend> kept = new ArrayList<>(list);
         kept.addAll(missing);
         return kept;
     }
 
-    @Override public void sent(long now, Job job, int attempt, Worker worker, double work) {
-        Node node = nodes.get(worker.id());
+    @Override public void attemptSent(long now, Request job, int attempt, Backend worker, double work) {
+        ZoneBackend node = backends.get(worker.id());
         Zone zone = zones[worker.zone()];
-        boolean spill = tier(job.jobClass(), worker.zone()) > 0;
-        Sent one = new Sent(worker.zone(), job.slots(), work, spill);
-        List<Sent> all = sent.computeIfAbsent(job.id(), id -> new ArrayList<>(2));
+        boolean spill = tierOf(job.classIndex(), worker.zone()) > 0;
+        SentAttempt one = new SentAttempt(worker.zone(), job.slots(), work, spill);
+        List<SentAttempt> all = sent.computeIfAbsent(job.id(), id -> new ArrayList<>(2));
         while (all.size() <= attempt) {
             all.add(null);
         }
         all.set(attempt, one);
-        zone.inFlight += one.slots;
+        zone.slotsInFlight += one.slots;
         if (spill) {
-            zone.spilled += one.slots;
-            zone.credit -= work;
-            zone.spills++;
+            zone.spilledSlots += one.slots;
+            zone.spillCredit -= work;
+            zone.spillCount++;
         }
-        if (zone.standing == Standing.DARK) {
-            zone.trialAt = now;
+        if (zone.health == ZoneHealth.DARK) {
+            zone.lastTrialAt = now;
         }
         if (node != null) {
-            node.out++;
+            node.attemptsInFlight++;
         }
     }
 
-    @Override public void ended(long now, Job job, int attempt, Worker worker, Outcome outcome, double ran) {
-        List<Sent> all = sent.get(job.id());
-        Sent one = all == null || attempt >= all.size() ? null : all.set(attempt, null);
+    @Override public void attemptEnded(long now, Request job, int attempt, Backend worker, Outcome outcome, double ran) {
+        List<SentAttempt> all = sent.get(job.id());
+        SentAttempt one = all == null || attempt >= all.size() ? null : all.set(attempt, null);
         if (one == null) {
             return;
         }
         if (all.stream().allMatch(java.util.Objects::isNull)) {
             sent.remove(job.id());
         }
-        Node node = nodes.get(worker.id());
+        ZoneBackend node = backends.get(worker.id());
         if (node != null) {
-            node.out--;
+            node.attemptsInFlight--;
         }
-        if (outcome == Outcome.SERVED && ran > 0 && job.jobClass() < runs.length && job.slots() > 0) {
-            double[] run = runs[job.jobClass()];
-            double weight = Math.max(NEW, 1 / ++run[2]);
+        if (outcome == Outcome.SERVED && ran > 0 && job.classIndex() < runStatistics.length && job.slots() > 0) {
+            double[] run = runStatistics[job.classIndex()];
+            double weight = Math.max(SMOOTHING_WEIGHT, 1 / ++run[2]);
             run[0] += weight * (ran / job.slots() - run[0]);
             run[1] += weight * (ran / job.slots() * ran / job.slots() - run[1]);
         }
-        if (one.spill && ran > 0) {
-            zones[one.zone].credit += one.work - ran;
+        if (one.isSpill && ran > 0) {
+            zones[one.zone].spillCredit += one.expectedSlotSeconds - ran;
         }
         // What timed out may still be at work there; it counts for as long as it was expected to run.
         if (outcome == Outcome.TIMED_OUT || outcome == Outcome.CANCELLED && ran != 0) {
-            zombies.add(new Zombie(now + (long) (one.work * 1e6), one));
+            abandonedAttempts.add(new AbandonedAttempt(now + (long) (one.expectedSlotSeconds * 1e6), one));
         } else {
             free(one);
         }
         switch (outcome) {
-            case SERVED, ERROR, REJECTED, UNFIT -> alive(now, worker.id());
-            case CONNECT_FAILED, RESET, TIMED_OUT -> failed(now, worker.id(), outcome);
+            case SERVED, ERROR, REJECTED, UNFIT -> backendResponded(now, worker.id());
+            case CONNECT_FAILED, RESET, TIMED_OUT -> recordFailure(now, worker.id(), outcome);
             default -> { }
         }
     }
 
-    private void free(Sent one) {
+    private void free(SentAttempt one) {
         Zone zone = zones[one.zone];
-        zone.inFlight = Math.max(0, zone.inFlight - one.slots);
-        zone.spilled = one.spill ? Math.max(0, zone.spilled - one.slots) : zone.spilled;
+        zone.slotsInFlight = Math.max(0, zone.slotsInFlight - one.slots);
+        zone.spilledSlots = one.isSpill ? Math.max(0, zone.spilledSlots - one.slots) : zone.spilledSlots;
     }
 
-    @Override public void alive(long now, long worker) {
-        Node node = nodes.get(worker);
+    @Override public void backendResponded(long now, long worker) {
+        ZoneBackend node = backends.get(worker);
         if (node == null) {
             return;
         }
         Zone zone = zones[node.zone];
-        zone.alive(now, node, s.evidenceFor);
-        if (node.backAt == Node.NEVER || node.backAt < zone.lostAt || node.isSilent(now) && zone.standing != Standing.WHOLE) {
-            node.backAt = now;
+        zone.recordAlive(now, node, s.evidenceWindowMicros);
+        if (node.recoveredAt == ZoneBackend.NEVER || node.recoveredAt < zone.lastLostAt || node.isSilent(now) && zone.health != ZoneHealth.WHOLE) {
+            node.recoveredAt = now;
         }
-        node.aliveAt = now;
-        zone.aliveAt = now;
-        node.bad = 0;
-        node.connects = 0;
-        node.breaks = 0;
-        node.silences = 0;
-        zone.failing.remove(node);
-        zone.good++;
+        node.lastAliveAt = now;
+        zone.lastAliveAt = now;
+        node.consecutiveFailures = 0;
+        node.connectFailures = 0;
+        node.resets = 0;
+        node.timeouts = 0;
+        zone.failingBackends.remove(node);
+        zone.successesInStage++;
     }
 
-    @Override public void late(long now, long worker) {
-        failed(now, worker, null);
+    @Override public void startOverdue(long now, long worker) {
+        recordFailure(now, worker, null);
     }
 
     /** {@code how} is null for a job that does not start, or a probe without an answer. */
-    private void failed(long now, long worker, Outcome how) {
-        Node node = nodes.get(worker);
+    private void recordFailure(long now, long worker, Outcome how) {
+        ZoneBackend node = backends.get(worker);
         if (node == null || !node.ready) {
             return;
         }
-        node.badAt = node.bad == 0 ? now : node.badAt;
-        node.bad++;
-        node.connects += how == Outcome.CONNECT_FAILED ? 1 : 0;
-        node.breaks += how == Outcome.RESET ? 1 : 0;
-        node.silences += how == null || how == Outcome.TIMED_OUT ? 1 : 0;
-        zones[node.zone].failing.add(node);
-        zones[node.zone].badInStage++;
+        node.firstFailureAt = node.consecutiveFailures == 0 ? now : node.firstFailureAt;
+        node.consecutiveFailures++;
+        node.connectFailures += how == Outcome.CONNECT_FAILED ? 1 : 0;
+        node.resets += how == Outcome.RESET ? 1 : 0;
+        node.timeouts += how == null || how == Outcome.TIMED_OUT ? 1 : 0;
+        zones[node.zone].failingBackends.add(node);
+        zones[node.zone].failuresInStage++;
     }
 
-    @Override public void probed(long now, long worker, boolean answered, double slots) {
-        Node node = nodes.get(worker);
+    @Override public void probeEnded(long now, long worker, boolean answered, double slots) {
+        ZoneBackend node = backends.get(worker);
         if (node == null) {
             return;
         }
         if (!answered) {
-            failed(now, worker, null);
+            recordFailure(now, worker, null);
             return;
         }
-        alive(now, worker);
+        backendResponded(now, worker);
         Zone zone = zones[node.zone];
-        if (slots > node.slots) {
-            zone.slotCount += node.slots == 0 ? 1 : 0;
-            zone.slotSum += slots - node.slots;
-            node.slots = slots;
+        if (slots > node.reportedSlots) {
+            zone.reportingBackendCount += node.reportedSlots == 0 ? 1 : 0;
+            zone.reportedSlotSum += slots - node.reportedSlots;
+            node.reportedSlots = slots;
         }
     }
 
     // ---- Verdicts
 
-    @Override public List<Long> round(long now) {
-        double seconds = roundAt == 0 ? 0 : (now - roundAt) / 1e6;
-        roundAt = now;
-        while (!zombies.isEmpty() && zombies.peek().until <= now) {
-            free(zombies.poll().sent);
+    @Override public List<Long> runPeriodicCheck(long now) {
+        double seconds = lastRoundAt == 0 ? 0 : (now - lastRoundAt) / 1e6;
+        lastRoundAt = now;
+        while (!abandonedAttempts.isEmpty() && abandonedAttempts.peek().countedUntil <= now) {
+            free(abandonedAttempts.poll().attempt);
         }
         List<Long> probes = new ArrayList<>();
         for (Zone zone : zones) {
-            double bound = bound(zone);
-            zone.credit = Math.min(2 * bound, zone.credit + bound * seconds);
-            zone.usual += zone.standing == Standing.WHOLE ? seconds / 60 * (zone.ready - zone.usual) : 0;
-            if (zone.standing == Standing.WHOLE && seconds > 0) {
-                zone.usualInFlight += (zone.usualInFlight == 0 ? 1 : NEW) * (zone.inFlight - zone.usualInFlight);
+            double bound = spillBound(zone);
+            zone.spillCredit = Math.min(2 * bound, zone.spillCredit + bound * seconds);
+            zone.usualReadyCount += zone.health == ZoneHealth.WHOLE ? seconds / 60 * (zone.readyCount - zone.usualReadyCount) : 0;
+            if (zone.health == ZoneHealth.WHOLE && seconds > 0) {
+                zone.usualSlotsInFlight += (zone.usualSlotsInFlight == 0 ? 1 : SMOOTHING_WEIGHT) * (zone.slotsInFlight - zone.usualSlotsInFlight);
             }
-            judge(now, zone);
-            openOrClose(zone, now);
-            if (zone.standing == Standing.DARK || zone.standing == Standing.RETURNING) {
-                ask(now, zone, probes);
+            updateHealth(now, zone);
+            updateNextTier(zone, now);
+            if (zone.health == ZoneHealth.DARK || zone.health == ZoneHealth.RETURNING) {
+                probeLostZone(now, zone, probes);
             } else {
-                sample(now, zone, probes);
+                sampleZone(now, zone, probes);
             }
         }
         return probes;
     }
 
     /** Asks a few nodes of a lost zone for a sign of life; which ones turns with time and with our number. */
-    private void ask(long now, Zone zone, List<Long> probes) {
-        int most = zone.standing == Standing.DARK ? PROBES : 2 * PROBES;
-        for (Node node : zone.failing) {
+    private void probeLostZone(long now, Zone zone, List<Long> probes) {
+        int most = zone.health == ZoneHealth.DARK ? PROBES_PER_ROUND : 2 * PROBES_PER_ROUND;
+        for (ZoneBackend node : zone.failingBackends) {
             if (probes.size() >= most) {
                 return;
             }
-            if (now - node.askedAt >= 1_000_000 && node.ready) {
-                node.askedAt = now + Math.floorMod(node.id * 31 + s.index * 7919L, 300_000L);
+            if (now - node.lastProbedAt >= 1_000_000 && node.ready) {
+                node.lastProbedAt = now + Math.floorMod(node.id * 31 + s.dispatcherIndex * 7919L, 300_000L);
                 probes.add(node.id);
             }
         }
         // Nodes that nobody has tried since the loss have not failed, and not answered either.
-        if (zone.failing.size() < zone.ready && probes.size() < most) {
-            for (Node node : zone.members) {
+        if (zone.failingBackends.size() < zone.readyCount && probes.size() < most) {
+            for (ZoneBackend node : zone.backends) {
                 if (probes.size() >= most) {
                     return;
                 }
-                if (node.ready && node.backAt < zone.lostAt && now - node.askedAt >= 1_000_000) {
-                    node.askedAt = now + Math.floorMod(node.id * 31 + s.index * 7919L, 300_000L);
+                if (node.ready && node.recoveredAt < zone.lastLostAt && now - node.lastProbedAt >= 1_000_000) {
+                    node.lastProbedAt = now + Math.floorMod(node.id * 31 + s.dispatcherIndex * 7919L, 300_000L);
                     probes.add(node.id);
                 }
             }
@@ -462,173 +462,173 @@
     }
 
     /** A zone where we send little is sampled, so that its loss is seen before our work goes there. */
-    private void sample(long now, Zone zone, List<Long> probes) {
-        boolean busy = zone.failing.isEmpty() && zone.inFlight >= 2 * s.leastNodes;
-        if (busy || now - zone.sampledAt < s.sampleEvery || zone.members.isEmpty()) {
+    private void sampleZone(long now, Zone zone, List<Long> probes) {
+        boolean busy = zone.failingBackends.isEmpty() && zone.slotsInFlight >= 2 * s.minSilentBackends;
+        if (busy || now - zone.lastSampledAt < s.sampleIntervalMicros || zone.backends.isEmpty()) {
             return;
         }
-        zone.sampledAt = now;
+        zone.lastSampledAt = now;
         // One that failed lately is asked again first: a second failure counts, and so does an answer.
-        for (Node node : zone.failing) {
-            if (node.ready && now - node.askedAt >= 500_000) {
-                node.askedAt = now;
+        for (ZoneBackend node : zone.failingBackends) {
+            if (node.ready && now - node.lastProbedAt >= 500_000) {
+                node.lastProbedAt = now;
                 probes.add(node.id);
                 return;
             }
         }
-        zone.next = (zone.next + 1) % zone.members.size();
-        Node node = zone.members.get(zone.next);
+        zone.lastSampleIndex = (zone.lastSampleIndex + 1) % zone.backends.size();
+        ZoneBackend node = zone.backends.get(zone.lastSampleIndex);
         if (node.ready) {
-            node.askedAt = now;
+            node.lastProbedAt = now;
             probes.add(node.id);
         }
     }
 
-    private int silent(Zone zone, long now) {
+    private int countSilent(Zone zone, long now) {
         int silent = 0;
-        for (Node node : zone.failing) {
-            silent += node.isSilent(now) && now - node.badAt < 16 * s.evidenceFor ? 1 : 0;
+        for (ZoneBackend node : zone.failingBackends) {
+            silent += node.isSilent(now) && now - node.firstFailureAt < 16 * s.evidenceWindowMicros ? 1 : 0;
         }
         return silent;
     }
 
-    private void judge(long now, Zone zone) {
-        int silent = silent(zone, now);
-        int alive = zone.aliveLately(now, s.evidenceFor);
-        int counted = Math.max(0, alive - overlap(zone, now));
+    private void updateHealth(long now, Zone zone) {
+        int silent = countSilent(zone, now);
+        int alive = zone.countAlive(now, s.evidenceWindowMicros);
+        int counted = Math.max(0, alive - countSilentButRecentlyAlive(zone, now));
         double share = silent == 0 ? 0 : silent / (double) (silent + counted);
-        boolean enough = silent >= Math.min(s.leastNodes, Math.max(1, zone.ready));
-        boolean gone = zone.usual >= 1 && zone.ready <= (1 - s.darkAt) * zone.usual && bornAt + s.learnsFor < now;
-        boolean dark = (share >= s.darkAt && enough && othersAnswer(zone)) || gone;
-        switch (zone.standing) {
+        boolean enough = silent >= Math.min(s.minSilentBackends, Math.max(1, zone.readyCount));
+        boolean gone = zone.usualReadyCount >= 1 && zone.readyCount <= (1 - s.darkShare) * zone.usualReadyCount && firstListAt + s.learningMicros < now;
+        boolean dark = (share >= s.darkShare && enough && isAnotherZoneAlive(zone)) || gone;
+        switch (zone.health) {
             case WHOLE, DEGRADED -> {
                 if (dark) {
-                    turn(now, zone, Standing.DARK, silent, alive);
-                } else if (zone.standing == Standing.WHOLE && share >= s.degradedAt && enough) {
-                    turn(now, zone, Standing.DEGRADED, silent, alive);
-                } else if (zone.standing == Standing.DEGRADED && share < s.degradedAt / 2 && now - zone.since > s.stage) {
-                    turn(now, zone, Standing.WHOLE, silent, alive);
+                    changeHealth(now, zone, ZoneHealth.DARK, silent, alive);
+                } else if (zone.health == ZoneHealth.WHOLE && share >= s.degradedShare && enough) {
+                    changeHealth(now, zone, ZoneHealth.DEGRADED, silent, alive);
+                } else if (zone.health == ZoneHealth.DEGRADED && share < s.degradedShare / 2 && now - zone.healthSince > s.minStageMicros) {
+                    changeHealth(now, zone, ZoneHealth.WHOLE, silent, alive);
                 }
             }
             case DARK -> {
-                boolean answers = alive > 0 && !dark && zone.ready > 0;
-                if (now - zone.since >= hold(zone) && (answers || back(zone) > 0)) {
-                    turn(now, zone, Standing.RETURNING, silent, alive);
+                boolean answers = alive > 0 && !dark && zone.readyCount > 0;
+                if (now - zone.healthSince >= holdMicros(zone) && (answers || countRecovered(zone) > 0)) {
+                    changeHealth(now, zone, ZoneHealth.RETURNING, silent, alive);
                 }
             }
             default -> {
-                if (dark && !gone && back(zone) == 0 || zone.ready == 0) {
-                    turn(now, zone, Standing.DARK, silent, alive);
-                } else if (now - zone.since >= s.stage) {
-                    stage(now, zone, silent, alive);
+                if (dark && !gone && countRecovered(zone) == 0 || zone.readyCount == 0) {
+                    changeHealth(now, zone, ZoneHealth.DARK, silent, alive);
+                } else if (now - zone.healthSince >= s.minStageMicros) {
+                    advanceReturn(now, zone, silent, alive);
                 }
             }
         }
     }
 
     /** The next stage where this one went well; the one before where it did not. */
-    private void stage(long now, Zone zone, int silent, int alive) {
-        boolean well = zone.good > 0 && zone.badInStage <= 0.2 * (zone.good + zone.badInStage);
-        zone.since = now;
-        zone.good = 0;
-        zone.badInStage = 0;
+    private void advanceReturn(long now, Zone zone, int silent, int alive) {
+        boolean well = zone.successesInStage > 0 && zone.failuresInStage <= 0.2 * (zone.successesInStage + zone.failuresInStage);
+        zone.healthSince = now;
+        zone.successesInStage = 0;
+        zone.failuresInStage = 0;
         if (!well) {
-            zone.stage = Math.max(0, zone.stage - 1);
-        } else if (zone.stage < s.stages.length - 1) {
-            zone.stage++;
+            zone.returnStage = Math.max(0, zone.returnStage - 1);
+        } else if (zone.returnStage < s.returnStageShares.length - 1) {
+            zone.returnStage++;
         } else {
             // What is there now is the new measure of what is usual: some nodes may be gone for good.
-            zone.usual = zone.ready;
-            turn(now, zone, Standing.WHOLE, silent, alive);
+            zone.usualReadyCount = zone.readyCount;
+            changeHealth(now, zone, ZoneHealth.WHOLE, silent, alive);
         }
     }
 
     /** Nodes that answered after the zone was lost. */
-    private long back(Zone zone) {
-        return zone.members.stream().filter(node -> node.ready && node.backAt >= zone.lostAt && node.bad == 0).count();
+    private long countRecovered(Zone zone) {
+        return zone.backends.stream().filter(node -> node.ready && node.recoveredAt >= zone.lastLostAt && node.consecutiveFailures == 0).count();
     }
 
     /** Silent nodes whose last sign of life is recent enough to be counted among the living. */
-    private int overlap(Zone zone, long now) {
+    private int countSilentButRecentlyAlive(Zone zone, long now) {
         int both = 0;
-        for (Node node : zone.failing) {
-            both += node.isSilent(now) && now - node.aliveAt < s.evidenceFor ? 1 : 0;
+        for (ZoneBackend node : zone.failingBackends) {
+            both += node.isSilent(now) && now - node.lastAliveAt < s.evidenceWindowMicros ? 1 : 0;
         }
         return both;
     }
 
     /** Guards against taking our own cut cable for a lost zone: another must have answered since its failures began. */
-    private boolean othersAnswer(Zone zone) {
+    private boolean isAnotherZoneAlive(Zone zone) {
         long began = Long.MAX_VALUE / 2;
-        for (Node node : zone.failing) {
-            began = Math.min(began, node.badAt);
+        for (ZoneBackend node : zone.failingBackends) {
+            began = Math.min(began, node.firstFailureAt);
         }
         boolean others = false;
         for (Zone other : zones) {
-            others |= other != zone && other.aliveAt > began + 200_000;
+            others |= other != zone && other.lastAliveAt > began + 200_000;
         }
         return others;
     }
 
-    private long hold(Zone zone) {
-        return Math.min(s.longestHold, s.hold << Math.min(20, Math.max(0, zone.losses - 1)));
+    private long holdMicros(Zone zone) {
+        return Math.min(s.maxHoldMicros, s.initialHoldMicros << Math.min(20, Math.max(0, zone.lossCount - 1)));
     }
 
-    private void turn(long now, Zone zone, Standing to, int silent, int alive) {
-        if (to == Standing.DARK) {
+    private void changeHealth(long now, Zone zone, ZoneHealth to, int silent, int alive) {
+        if (to == ZoneHealth.DARK) {
             // A loss long ago counts no more; one that follows soon makes the next return wait longer.
-            long quiet = zone.lostAt == Node.NEVER ? Long.MAX_VALUE / 2 : now - zone.lostAt;
-            zone.losses = Math.max(0, zone.losses - (int) Math.min(30, quiet / s.forgetsAfter)) + 1;
-            zone.lostAt = now;
-        }
-        zone.stage = 0;
-        zone.good = 0;
-        zone.badInStage = 0;
-        zone.since = now;
-        zone.standing = to;
+            long quiet = zone.lastLostAt == ZoneBackend.NEVER ? Long.MAX_VALUE / 2 : now - zone.lastLostAt;
+            zone.lossCount = Math.max(0, zone.lossCount - (int) Math.min(30, quiet / s.lossMemoryMicros)) + 1;
+            zone.lastLostAt = now;
+        }
+        zone.returnStage = 0;
+        zone.successesInStage = 0;
+        zone.failuresInStage = 0;
+        zone.healthSince = now;
+        zone.health = to;
         int connects = 0;
         int breaks = 0;
         int silences = 0;
-        for (Node node : zone.failing) {
-            connects += node.connects;
-            breaks += node.breaks;
-            silences += node.silences;
+        for (ZoneBackend node : zone.failingBackends) {
+            connects += node.connectFailures;
+            breaks += node.resets;
+            silences += node.timeouts;
         }
         zone.evidence = String.format(Locale.ROOT, "%d nodes fail (connects %d, breaks %d, silence %d), %d answered within "
-            + "%.1f s, the list has %d of usually %.0f", silent, connects, breaks, silences, alive, s.evidenceFor / 1e6,
-            zone.ready, zone.usual);
+            + "%.1f s, the list has %d of usually %.0f", silent, connects, breaks, silences, alive, s.evidenceWindowMicros / 1e6,
+            zone.readyCount, zone.usualReadyCount);
         news.add("zone " + zone.name + " is " + to.name().toLowerCase(Locale.ROOT) + ": " + zone.evidence
-            + (to == Standing.DARK ? String.format(Locale.ROOT, "; left alone for %.1f s", hold(zone) / 1e6) : ""));
+            + (to == ZoneHealth.DARK ? String.format(Locale.ROOT, "; left alone for %.1f s", holdMicros(zone) / 1e6) : ""));
     }
 
     /** The next tier opens below a share of usable nodes and closes above another. */
-    private void openOrClose(Zone zone, long now) {
-        double share = zone.usual < 1 ? 1 : Math.max(0, zone.ready - silent(zone, now)) / zone.usual;
-        boolean lost = zone.standing == Standing.DARK || zone.standing == Standing.RETURNING;
-        zone.open = lost || (zone.open ? share < s.closeAt : share <= s.openAt && share < 1);
+    private void updateNextTier(Zone zone, long now) {
+        double share = zone.usualReadyCount < 1 ? 1 : Math.max(0, zone.readyCount - countSilent(zone, now)) / zone.usualReadyCount;
+        boolean lost = zone.health == ZoneHealth.DARK || zone.health == ZoneHealth.RETURNING;
+        zone.nextTierOpen = lost || (zone.nextTierOpen ? share < s.nextTierCloseShare : share <= s.nextTierOpenShare && share < 1);
     }
 
-    @Override public String news() {
+    @Override public String pollLogLine() {
         return news.poll();
     }
 
     /** How often a list was not believed. */
-    public long guarded() {
-        return guarded;
+    public long correctedListCount() {
+        return correctedListCount;
     }
 
     /** The standing of a zone. */
-    public Standing standing(int zone) {
-        return zones[zone].standing;
+    public ZoneHealth health(int zone) {
+        return zones[zone].health;
     }
 
     /** What operators see. */
-    public List<View> views(long now) {
-        List<View> views = new ArrayList<>();
+    public List<Status> statuses(long now) {
+        List<Status> views = new ArrayList<>();
         for (Zone zone : zones) {
-            views.add(new View(zone.name, zone.standing, zone.evidence, zone.since, zone.stage, zone.losses, zone.ready,
-                zone.usual, silent(zone, now), zone.inFlight, zone.spilled, bound(zone), zone.open, zone.spills,
-                zone.refusals));
+            views.add(new Status(zone.name, zone.health, zone.evidence, zone.healthSince, zone.returnStage, zone.lossCount, zone.readyCount,
+                zone.usualReadyCount, countSilent(zone, now), zone.slotsInFlight, zone.spilledSlots, spillBound(zone), zone.nextTierOpen, zone.spillCount,
+                zone.refusalCount));
         }
         return views;
     }
--- a/src/test/java/badgermux/KnownRedTest.java
+++ b/src/test/java/badgermux/KnownRedTest.java
@@ -13,18 +13,18 @@
 
 /** What CI leaves out: just what KNOWN-RED.txt names, three tests at most, each of which there is. */
 class KnownRedTest {
-    private static final String ONE = "badgermux.SomeTest#one, a cause, with a comma, issue 7\n";
-    private static final String OTHER = "badgermux.SomeTest#other, a cause, issue 25\n";
+    private static final String FIRST_ENTRY = "badgermux.SomeTest#one, a cause, with a comma, issue 7\n";
+    private static final String SECOND_ENTRY = "badgermux.SomeTest#other, a cause, issue 25\n";
 
     @TempDir private Path root;
 
-    @BeforeEach void make() throws IOException {
+    @BeforeEach void createTestSources() throws IOException {
         Path tests = Files.createDirectories(root.resolve("src/test/java/badgermux"));
         Files.writeString(tests.resolve("SomeTest.java"), "class SomeTest {\n    @Test void one() { }\n\n"
             + "    @Property void other(@ForAll int x) { }\n\n    private static void helper() { }\n}\n");
     }
 
-    private String run(int status) throws IOException, InterruptedException {
+    private String runScript(int status) throws IOException, InterruptedException {
         Process process = new ProcessBuilder(Path.of(".ci", "known-red").toAbsolutePath().toString())
             .directory(root.toFile()).redirectErrorStream(true).start();
         String printed = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
@@ -32,31 +32,31 @@
         return printed;
     }
 
-    private String run(int status, String red) throws IOException, InterruptedException {
+    private String runScript(int status, String red) throws IOException, InterruptedException {
         Files.writeString(root.resolve("KNOWN-RED.txt"), red);
-        return run(status);
+        return runScript(status);
     }
 
-    @Test void withoutTheFileOrWithAnEmptyOneNothingIsLeftOut() throws IOException, InterruptedException {
-        assertEquals("", run(0));
-        assertEquals("", run(0, ""));
-        assertEquals("", run(0, "\n"));
+    @Test void excludesNothingWithoutEntries() throws IOException, InterruptedException {
+        assertEquals("", runScript(0));
+        assertEquals("", runScript(0, ""));
+        assertEquals("", runScript(0, "\n"));
     }
 
-    @Test void justWhatIsNamedIsLeftOut() throws IOException, InterruptedException {
-        assertEquals("badgermux/SomeTest.java#one\nbadgermux/SomeTest.java#other\n", run(0, ONE + OTHER));
+    @Test void excludesExactlyTheListedTests() throws IOException, InterruptedException {
+        assertEquals("badgermux/SomeTest.java#one\nbadgermux/SomeTest.java#other\n", runScript(0, FIRST_ENTRY + SECOND_ENTRY));
     }
 
-    @Test void aFourthLineFails() throws IOException, InterruptedException {
-        run(0, ONE.repeat(3));
-        assertEquals("KNOWN-RED.txt: more than three lines", run(1, ONE.repeat(4)).lines().reduce((a, b) -> b).orElseThrow());
+    @Test void rejectsMoreThanThreeEntries() throws IOException, InterruptedException {
+        runScript(0, FIRST_ENTRY.repeat(3));
+        assertEquals("KNOWN-RED.txt: more than three lines", runScript(1, FIRST_ENTRY.repeat(4)).lines().reduce((a, b) -> b).orElseThrow());
     }
 
-    @Test void aLineThatNamesNoTestFails() throws IOException, InterruptedException {
+    @Test void rejectsMalformedAndUnknownEntries() throws IOException, InterruptedException {
         for (String line : new String[] {"badgermux.SomeTest#three, a cause, issue 1", "badgermux.SomeTest#helper, a cause, issue 1",
                 "badgermux.NoTest#one, a cause, issue 1", "badgermux.SomeTest, a cause, issue 1", "badgermux.SomeTest#one, issue 1",
                 "badgermux.SomeTest#one, a cause", "badgermux.*#one, a cause, issue 1", "../SomeTest#one, a cause, issue 1"}) {
-            assertNotEquals("", run(1, line), line);
+            assertNotEquals("", runScript(1, line), line);
         }
     }
 }
--- a/src/test/java/badgermux/config/ConfigTest.java
+++ b/src/test/java/badgermux/config/ConfigTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import badgermux.decide.Dispatch;
+import badgermux.decide.DispatchPolicy;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class ConfigTest {
-    private static final String GOOD = "{\"name\":\"n\",\"listen\":\"127.0.0.1:1\",\"discovery\":\"127.0.0.1:2\","
+    private static final String VALID_CONFIG = "{\"name\":\"n\",\"listen\":\"127.0.0.1:1\",\"discovery\":\"127.0.0.1:2\","
         + "\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":512,\"memory_mb\":144},\"known\":{\"revision\":4,\"members\":[]},"
         + "\"settings\":{\"Kinds\":[\"a\",\"b c\"],\"FailureDomains\":[\"z\"],\"Customers\":[],"
         + "\"Ceilings\":{\"MaxAttempts\":3,\"Cancel\":true},\"Extra\":{\"ClassStretch\":[1.5]},"
@@ -26,7 +26,7 @@
 
     @TempDir private Path folder;
 
-    private Config read(String text, Map<String, String> environment) throws ConfigException, IOException {
+    private Config readConfig(String text, Map<String, String> environment) throws ConfigException, IOException {
         Path file = Files.writeString(folder.resolve("config.json"), text);
         Map<String, String> all = new java.util.HashMap<>(environment);
         all.put("GW_CONFIG", file.toString());
@@ -35,49 +35,49 @@
 
     /** The part of a cold runner's work and the order of turns follow from these two. */
     @ParameterizedTest @CsvSource({"1, 0", "14, 13", "100, 99"})
-    void theSizeOfTheFleetIsRead(int balancers, int me) throws ConfigException, IOException {
-        Dispatch.Settings settings = read(GOOD.replace("\"Kinds\"", "\"Balancers\":" + balancers + ",\"Me\":" + me
+    void readsDispatcherCountAndIndex(int balancers, int me) throws ConfigException, IOException {
+        DispatchPolicy.Settings settings = readConfig(VALID_CONFIG.replace("\"Kinds\"", "\"Balancers\":" + balancers + ",\"Me\":" + me
             + ",\"Kinds\""), Map.of()).settings();
-        assertEquals(balancers, settings.dispatchers);
-        assertEquals(me, settings.index);
-        assertEquals(1, read(GOOD, Map.of()).settings().dispatchers, "alone where nothing is said");
+        assertEquals(balancers, settings.dispatcherCount);
+        assertEquals(me, settings.dispatcherIndex);
+        assertEquals(1, readConfig(VALID_CONFIG, Map.of()).settings().dispatcherCount, "alone where nothing is said");
     }
 
     @ParameterizedTest @CsvSource({"0, 0, dispatchers", "14, 14, index", "-1, 0, Balancers", "1.5, 0, Balancers"})
-    void aFleetThatCannotBeIsNamed(String balancers, int me, String fault) {
-        String text = GOOD.replace("\"Kinds\"", "\"Balancers\":" + balancers + ",\"Me\":" + me + ",\"Kinds\"");
-        String told = assertThrows(ConfigException.class, () -> read(text, Map.of())).getMessage();
+    void rejectsInvalidDispatcherCountOrIndex(String balancers, int me, String fault) {
+        String text = VALID_CONFIG.replace("\"Kinds\"", "\"Balancers\":" + balancers + ",\"Me\":" + me + ",\"Kinds\"");
+        String told = assertThrows(ConfigException.class, () -> readConfig(text, Map.of())).getMessage();
         assertTrue(told.contains(fault), told);
     }
 
     /** Blanks and commas are read as underscores: two names that differ in those alone can't be told apart. */
     @ParameterizedTest @CsvSource(delimiter = '|', value = {"[\"a\",\"b c\"]|[\"a b\",\"a_b\"]|Kinds", "[\"z\"]|[\"z 1\",\"z,1\"]|FailureDomains"})
-    void namesThatReadAlikeAreTold(String old, String by, String fault) {
-        String told = assertThrows(ConfigException.class, () -> read(GOOD.replace(old, by), Map.of())).getMessage();
+    void rejectsNamesEqualAfterNormalization(String old, String by, String fault) {
+        String told = assertThrows(ConfigException.class, () -> readConfig(VALID_CONFIG.replace(old, by), Map.of())).getMessage();
         assertTrue(told.contains(fault), told);
     }
 
-    @Test void theFingerprintIsThatOfAllSettingsAndOfNothingElse() throws ConfigException, IOException {
-        String one = read(GOOD, Map.of()).fingerprint();
-        assertEquals(one, read(GOOD.replace("\"revision\":4", "\"revision\":5").replace("8c1f", "8c1e"), Map.of()).fingerprint());
-        assertTrue(!one.equals(read(GOOD.replace("\"GiveUpMs\":2000", "\"GiveUpMs\":2001"), Map.of()).fingerprint()));
+    @Test void fingerprintCoversExactlyTheSettings() throws ConfigException, IOException {
+        String one = readConfig(VALID_CONFIG, Map.of()).settingsFingerprint();
+        assertEquals(one, readConfig(VALID_CONFIG.replace("\"revision\":4", "\"revision\":5").replace("8c1f", "8c1e"), Map.of()).settingsFingerprint());
+        assertTrue(!one.equals(readConfig(VALID_CONFIG.replace("\"GiveUpMs\":2000", "\"GiveUpMs\":2001"), Map.of()).settingsFingerprint()));
     }
 
-    @Test void allIsReadAndTheEnvironmentGoesFirst() throws ConfigException, IOException {
-        Config config = read(GOOD, Map.of("GW_LISTEN", "127.0.0.9:9"));
-        assertEquals("127.0.0.9", config.listen().getHostString());
-        assertEquals(2, config.discovery().getPort());
+    @Test void environmentOverridesTheFile() throws ConfigException, IOException {
+        Config config = readConfig(VALID_CONFIG, Map.of("GW_LISTEN", "127.0.0.9:9"));
+        assertEquals("127.0.0.9", config.listenAddress().getHostString());
+        assertEquals(2, config.discoveryAddress().getPort());
         assertEquals(0x8c1f30d27a5be964L, config.seed());
-        assertEquals(512, config.sockets());
+        assertEquals(512, config.maxDescriptors());
         assertEquals(144, config.memoryMb());
-        assertEquals(List.of("a", "b_c"), config.kinds());
-        assertEquals(250_000, config.connectTimeout());
-        Dispatch.JobClass render = config.settings().classes.get(0);
-        assertEquals(Dispatch.Effect.BY_KEY, render.effect());
-        assertEquals(100_500, render.aim());
-        assertEquals(1.5, render.stretch());
+        assertEquals(List.of("a", "b_c"), config.kindNames());
+        assertEquals(250_000, config.connectTimeoutMicros());
+        DispatchPolicy.RequestClass render = config.settings().classes.get(0);
+        assertEquals(DispatchPolicy.Effect.BY_KEY, render.effect());
+        assertEquals(100_500, render.targetMicros());
+        assertEquals(1.5, render.targetStretch());
         assertEquals(3, config.settings().maxAttempts);
-        assertTrue(config.settings().cancels);
+        assertTrue(config.settings().mayCancel);
     }
 
     @ParameterizedTest @CsvSource(delimiter = '~', value = {
@@ -87,14 +87,14 @@
         "\"GiveUpMs\" ~ \"Other\" ~ RequestClasses.0.GiveUpMs", "\"MaxAttempts\":3 ~ \"MaxAttempts\":0 ~ maxAttempts",
         "\"MaxAttempts\":3 ~ \"ConnectTimeoutMs\":0 ~ settings.Ceilings.ConnectTimeoutMs",
         "\"members\":[] ~ \"members\":7 ~ known", "\"settings\" ~ \"setting\" ~ settings", "{\"name\" ~ x ~ GW_CONFIG"})
-    void whatIsWrongIsNamed(String good, String bad, String key) {
-        assertTrue(GOOD.contains(good), good);
+    void errorsNameTheFaultyKey(String good, String bad, String key) {
+        assertTrue(VALID_CONFIG.contains(good), good);
         String message =
-            assertThrows(ConfigException.class, () -> read(GOOD.replace(good, bad), Map.of())).getMessage();
+            assertThrows(ConfigException.class, () -> readConfig(VALID_CONFIG.replace(good, bad), Map.of())).getMessage();
         assertTrue(message.contains(key) && message.lines().count() == 1, message);
     }
 
-    @Test void addressesAreInDigits() {
+    @Test void addressesMustBeNumeric() {
         assertEquals(80, badgermux.http.Address.parse("10.1.2.3:80").getPort());
         for (String bad : List.of("", ":", "host:80", "1.2.3.4", "1.2.3.4:", "1.2.3.4:70000", "1.2.3.400:1")) {
             assertNull(badgermux.http.Address.parse(bad), bad);
--- a/src/test/java/badgermux/console/ConsoleCommandTest.java
+++ b/src/test/java/badgermux/console/ConsoleCommandTest.java
@@ -13,32 +13,32 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class ConsoleCommandTest {
-    private static ConsoleCommand parse(String line) throws ConsoleCommand.MalformedCommand {
+    private static ConsoleCommand parse(String line) throws ConsoleCommand.MalformedCommandException {
         return ConsoleCommand.parse(line.getBytes(StandardCharsets.ISO_8859_1));
     }
 
     @ParameterizedTest @CsvSource({"HEALTH, HEALTH,", "' dump ', DUMP,", "OFFLINE s-0badcafe, OFFLINE, s-0badcafe",
         "'ONLINE\t  s:1.2', ONLINE, s:1.2"})
-    void callsAreRead(String line, ConsoleCommand.Word word, String id) throws ConsoleCommand.MalformedCommand {
+    void parsesCommands(String line, ConsoleCommand.Verb word, String id) throws ConsoleCommand.MalformedCommandException {
         assertEquals(new ConsoleCommand(word, id), parse(line));
     }
 
     @ParameterizedTest @ValueSource(strings = {"", " ", "FOO", "HEALTHY", "HEALTH now", "DUMP all", "OFFLINE", "ONLINE ",
         "OFFLINE a b", "OFFLINE \u0007", "HEALTH\r", "OFFLINE \u00e9", "\0"})
-    void whatIsNoCallIsToldWhy(String line) {
-        assertTrue(assertThrows(ConsoleCommand.MalformedCommand.class, () -> parse(line)).getMessage().matches("[ -~]{10,120}"));
+    void rejectsMalformedLinesWithAReason(String line) {
+        assertTrue(assertThrows(ConsoleCommand.MalformedCommandException.class, () -> parse(line)).getMessage().matches("[ -~]{10,120}"));
     }
 
-    @ParameterizedTest @ValueSource(ints = {ConsoleCommand.MAX_ID + 1, ConsoleCommand.MAX_LINE})
-    void longLinesAndIdsAreNone(int length) {
-        assertThrows(ConsoleCommand.MalformedCommand.class, () -> parse("OFFLINE " + "x".repeat(length)));
+    @ParameterizedTest @ValueSource(ints = {ConsoleCommand.MAX_ID_CHARS + 1, ConsoleCommand.MAX_LINE_BYTES})
+    void rejectsLongLinesAndIds(int length) {
+        assertThrows(ConsoleCommand.MalformedCommandException.class, () -> parse("OFFLINE " + "x".repeat(length)));
     }
 
-    @Property void anyBytesAreACallOrAReason(@ForAll @Size(max = 300) byte[] bytes) {
+    @Property void anyBytesGiveACommandOrAReason(@ForAll @Size(max = 300) byte[] bytes) {
         try {
             ConsoleCommand call = ConsoleCommand.parse(bytes);
-            assertTrue(call.id() == null || call.id().matches("[!-~]+"));
-        } catch (ConsoleCommand.MalformedCommand e) {
+            assertTrue(call.argument() == null || call.argument().matches("[!-~]+"));
+        } catch (ConsoleCommand.MalformedCommandException e) {
             assertTrue(e.getMessage().matches("[ -~]+"));
         }
     }
--- a/src/test/java/badgermux/contract/ContractProperties.java
+++ b/src/test/java/badgermux/contract/ContractProperties.java
@@ -36,8 +36,8 @@
 
     /** The tree finds a route exactly where trying all templates one by one does, and none is more concrete. */
     @Property(seed = SEED, tries = 500)
-    void lookUpsAgreeWithTryingAllTemplates(@ForAll("tables") List<List<String>> table, @ForAll("path") List<String> path)
-            throws Unreadable {
+    void lookupAgreesWithExhaustiveSearch(@ForAll("tables") List<List<String>> table, @ForAll("path") List<String> path)
+            throws SyntaxException {
         RouteTable<String> routes = new RouteTable<>();
         List<String> templates = new ArrayList<>();
         for (List<String> row : table) {
@@ -47,12 +47,12 @@
             }
         }
         RouteTable.Match<String> found = routes.find('/' + String.join("/", path));
-        List<String> fitting = templates.stream().filter(t -> fits(t, path)).toList();
+        List<String> fitting = templates.stream().filter(t -> matchesTemplate(t, path)).toList();
         assertEquals(fitting.isEmpty(), found == null);
         if (found != null) {
             assertTrue(fitting.contains(found.route()));
-            assertEquals(RouteTable.names(found.route()).size(), found.values().size());
-            fitting.forEach(other -> assertTrue(rank(found.route()).compareTo(rank(other)) <= 0, found + " before " + other));
+            assertEquals(RouteTable.parameterNames(found.route()).size(), found.parameterValues().size());
+            fitting.forEach(other -> assertTrue(specificityRank(found.route()).compareTo(specificityRank(other)) <= 0, found + " before " + other));
         }
     }
 
@@ -60,7 +60,7 @@
         return segments().list().ofMaxSize(12);
     }
 
-    private static boolean fits(String template, List<String> path) {
+    private static boolean matchesTemplate(String template, List<String> path) {
         String[] parts = template.substring(1).split("/");
         boolean fits = parts.length == path.size();
         for (int i = 0; fits && i < parts.length; i++) {
@@ -70,7 +70,7 @@
     }
 
     /** Segment by segment: literals, then templates with literal parts, then plain parameters. */
-    private static String rank(String template) {
+    private static String specificityRank(String template) {
         StringBuilder rank = new StringBuilder();
         for (String part : template.substring(1).split("/")) {
             rank.append(part.startsWith("{") ? 2 : part.contains("{") ? 1 : 0);
@@ -85,7 +85,7 @@
     private static Arbitrary<JsonNode> values(int depth) {
         JsonNodeFactory nodes = JsonNodeFactory.instance;
         Arbitrary<JsonNode> leaves = Arbitraries.oneOf(Arbitraries.integers().map(nodes::numberNode),
-            Arbitraries.bigDecimals().between(new java.math.BigDecimal("-1e30"), new java.math.BigDecimal("1e30")).map(nodes::numberNode), Arbitraries.strings().ofMaxLength(8).filter(ContractProperties::isWhole)
+            Arbitraries.bigDecimals().between(new java.math.BigDecimal("-1e30"), new java.math.BigDecimal("1e30")).map(nodes::numberNode), Arbitraries.strings().ofMaxLength(8).filter(ContractProperties::isValidUnicode)
             .map(nodes::stringNode), Arbitraries.of(true, false).map(nodes::booleanNode), Arbitraries.just(nodes.nullNode()));
         if (depth == 0) {
             return leaves;
@@ -101,21 +101,21 @@
         }));
     }
 
-    private static boolean isWhole(String text) {
+    private static boolean isValidUnicode(String text) {
         return new String(text.getBytes(StandardCharsets.UTF_8), StandardCharsets.UTF_8).equals(text);
     }
 
     @Property(seed = SEED, tries = 500)
-    void whatWasWrittenIsReadBack(@ForAll("values") JsonNode value) throws Unreadable {
-        assertEquals(value.toString(), Json.message(value.toString().getBytes(StandardCharsets.UTF_8)).toString());
+    void jsonRoundTrips(@ForAll("values") JsonNode value) throws SyntaxException {
+        assertEquals(value.toString(), Json.parseMessage(value.toString().getBytes(StandardCharsets.UTF_8)).toString());
     }
 
     /** Any bytes: a value or a reason, never anything else. */
     @Property(seed = SEED, tries = 1_000)
-    void bytesAreReadOrRefused(@ForAll @Size(max = 40) byte[] bytes) {
+    void arbitraryBytesParseOrFailCleanly(@ForAll @Size(max = 40) byte[] bytes) {
         try {
-            assertNotNull(Json.message(bytes));
-        } catch (Unreadable e) {
+            assertNotNull(Json.parseMessage(bytes));
+        } catch (SyntaxException e) {
             assertNotNull(e.getMessage());
         }
         try {
@@ -127,16 +127,16 @@
 
     /** Judged line by line, a stream passes exactly where a path through the order's automaton exists. */
     @Property(seed = SEED, tries = 1_000)
-    void anOrderIsItsAutomaton(@ForAll("orders") Map<String, Set<String>> follow, @ForAll("words") List<String> word)
-            throws Unreadable {
+    void orderMatchesItsAutomaton(@ForAll("orders") Map<String, Set<String>> follow, @ForAll("words") List<String> word)
+            throws SyntaxException {
         Set<String> names = Set.of("a", "b", "c");
-        Map<String, Flow.Message> messages = new LinkedHashMap<>();
-        names.forEach(name -> messages.put(name, new Flow.Message(name, null, null, Set.of(), null)));
-        Order order = new Order(Set.of("a"), follow, Set.of("c"));
+        Map<String, MessageStream.Message> messages = new LinkedHashMap<>();
+        names.forEach(name -> messages.put(name, new MessageStream.Message(name, null, null, Set.of(), null)));
+        MessageOrder order = new MessageOrder(Set.of("a"), follow, Set.of("c"));
         Set<String> states = null;
         boolean passes = true;
         for (String letter : word) {
-            Set<String> next = new LinkedHashSet<>(order.after(states));
+            Set<String> next = new LinkedHashSet<>(order.allowedAfter(states));
             passes &= next.contains(letter);
             states = Set.of(letter);
         }
@@ -146,13 +146,13 @@
         }
         assertEquals(expected, passes);
         // Messages that any value conforms to: the reader follows all of them at once, and passes where one way exists.
-        Flow.Stream stream = new Flow("d", "/a", messages, order).open(name -> List.of(), Schemas.Way.EVENT);
+        MessageStream.Validator stream = new MessageStream("d", "/a", messages, order).newValidator(name -> List.of(), SchemaCompiler.Direction.EVENT);
         boolean some = true;
         Set<String> open = null;
         for (int i = 0; i < word.size() && some; i++) {
-            open = order.after(open);
+            open = order.allowedAfter(open);
             some = !open.isEmpty();
-            assertEquals(some, stream.line("1".getBytes(StandardCharsets.UTF_8), 1_000).isEmpty());
+            assertEquals(some, stream.validateLine("1".getBytes(StandardCharsets.UTF_8), 1_000).isEmpty());
         }
     }
 
@@ -166,8 +166,8 @@
 
     /** What a schema of types and bounds takes is decided the same way by the judge and by its words. */
     @Property(seed = SEED, tries = 40)
-    void boundsAreKept(@ForAll int low, @ForAll int value) throws DescriptionException {
-        Contracts by = Judging.contracts(Judging.one("3.1.0", "/a", "[]", "{type: integer, minimum: " + low + "}"));
-        assertEquals(value >= low, Judging.json(by, "/a", String.valueOf(value)).conforms());
+    void enforcesMinimum(@ForAll int low, @ForAll int value) throws DescriptionException {
+        ContractSet by = ContractFixtures.compileContracts(ContractFixtures.openApiWithPost("3.1.0", "/a", "[]", "{type: integer, minimum: " + low + "}"));
+        assertEquals(value >= low, ContractFixtures.validateJson(by, "/a", String.valueOf(value)).conforms());
     }
 }
--- a/src/test/java/badgermux/contract/DescriptionsTest.java
+++ b/src/test/java/badgermux/contract/DescriptionCompilationTest.java
@@ -1,12 +1,12 @@
 package badgermux.contract;
 
-import static badgermux.contract.Judging.bare;
-import static badgermux.contract.Judging.brief;
-import static badgermux.contract.Judging.contracts;
-import static badgermux.contract.Judging.description;
-import static badgermux.contract.Judging.json;
-import static badgermux.contract.Judging.one;
-import static badgermux.contract.Judging.problems;
+import static badgermux.contract.ContractFixtures.validateWithoutBody;
+import static badgermux.contract.ContractFixtures.summary;
+import static badgermux.contract.ContractFixtures.compileContracts;
+import static badgermux.contract.ContractFixtures.compileDescription;
+import static badgermux.contract.ContractFixtures.validateJson;
+import static badgermux.contract.ContractFixtures.openApiWithPost;
+import static badgermux.contract.ContractFixtures.compileProblems;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -20,18 +20,18 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Descriptions as documents: references, routes, what can't be used and where, and what a new revision breaks. */
-class DescriptionsTest {
-    private static final String OK = "{'200': {description: ok}}";
+class DescriptionCompilationTest {
+    private static final String OK_RESPONSES = "{'200': {description: ok}}";
 
-    private static String paths(String... rows) {
+    private static String openApiWithPaths(String... rows) {
         StringBuilder text = new StringBuilder("openapi: 3.0.3\ninfo: {title: t, version: '1'}\npaths:\n");
         for (String row : rows) {
             String[] parts = row.split(" ");
             StringBuilder parameters = new StringBuilder();
-            RouteTable.names(parts[1]).forEach(name -> parameters.append("{name: ").append(name)
+            RouteTable.parameterNames(parts[1]).forEach(name -> parameters.append("{name: ").append(name)
                 .append(", in: path, required: true, schema: {}},"));
             text.append("  ").append(parts[1]).append(": {").append(parts[0]).append(": {parameters: [").append(parameters)
-                .append("], responses: ").append(OK).append("}}\n");
+                .append("], responses: ").append(OK_RESPONSES).append("}}\n");
         }
         return text.toString();
     }
@@ -39,19 +39,19 @@
     @ParameterizedTest
     @CsvSource({"/a/mine,405", "/a/x,0", "/a/x/y,0", "/a/,404", "/a,404", "/a/x.json,0", "/a/.json,0", "/b,404", "/a/x/,404",
         "/a//y,404", "//a/x,404", "/a/%6Dine,405", "/a/x%2Fy,0", "/a/x%2Fy/y,0", "/a/%2E/y,400", "/c/d/e,0", "/c/d/f,0", "/c/x/f,0"})
-    void theMostConcretePathWins(String path, int status) throws DescriptionException {
-        Contracts by = contracts(paths("get /a/mine", "post /a/{id}", "post /a/{id}.json", "post /a/{id}/y",
+    void mostConcretePathWins(String path, int status) throws DescriptionException {
+        ContractSet by = compileContracts(openApiWithPaths("get /a/mine", "post /a/{id}", "post /a/{id}.json", "post /a/{id}/y",
             "post /c/d/e", "post /c/{x}/f"));
-        assertEquals(status, bare(by, path).status());
+        assertEquals(status, validateWithoutBody(by, path).status());
     }
 
-    @Test void basePathsComeFromServersAndTheirVariables() throws DescriptionException {
-        Contracts by = contracts(paths("post /a") + "servers: [{url: 'https://h.example/{v}/api/', variables: {v: {default: v1, "
+    @Test void expandsServerVariablesIntoBasePaths() throws DescriptionException {
+        ContractSet by = compileContracts(openApiWithPaths("post /a") + "servers: [{url: 'https://h.example/{v}/api/', variables: {v: {default: v1, "
             + "enum: [v1, v2]}}}, {url: /old}]\n");
         for (String path : List.of("/v1/api/a", "/v2/api/a", "/old/a")) {
-            assertEquals("ok", brief(bare(by, path)), path);
+            assertEquals("ok", summary(validateWithoutBody(by, path)), path);
         }
-        assertEquals(404, bare(by, "/a").status());
+        assertEquals(404, validateWithoutBody(by, "/a").status());
     }
 
     @ParameterizedTest
@@ -65,57 +65,57 @@
         "openapi: 3.0.1\\npaths:\\n  /a:\\n    $ref: '#/b'|d.yaml:4: $ref leads nowhere",
         "openapi: 3.0.1\\npaths:\\n  /a: {$ref: '#/x'}\\nx: {$ref: '#/y'}\\ny: {$ref: '#/x'}|$ref leads back to itself",
         "openapi: 3.0.1\\npaths: {/a: {$ref: 'other.yaml#/a'}}|a document that was not given"})
-    void whatCantBeUsedIsToldWithItsPlace(String text, String reason) {
-        assertTrue(problems(text.replace("\\n", "\n")).contains(reason), problems(text.replace("\\n", "\n")));
+    void reportsProblemsWithLocation(String text, String reason) {
+        assertTrue(compileProblems(text.replace("\\n", "\n")).contains(reason), compileProblems(text.replace("\\n", "\n")));
     }
 
-    @Test void patternsRunInLinearTimeOrNotAtAll() throws DescriptionException {
-        assertTrue(problems(one("3.0.3", "/a", "[]", "{type: string, pattern: '(?=a)b'}")).matches(
-            "(?s)d.yaml:9: pattern can't be run in linear time.*"), problems(one("3.0.3", "/a", "[]", "{type: string, pattern: '(?=a)b'}")));
-        assertTrue(problems(one("3.0.3", "/a", "[]", "{type: string, pattern: '(a)\\1'}")).contains("linear time"));
-        Contracts by = contracts(one("3.0.3", "/a", "[]", "{type: string, pattern: '^\\u00e1\\d$'}"));
-        assertEquals("ok", brief(json(by, "/a", "\"\u00e11\"")));
+    @Test void rejectsPatternsWithoutLinearTime() throws DescriptionException {
+        assertTrue(compileProblems(openApiWithPost("3.0.3", "/a", "[]", "{type: string, pattern: '(?=a)b'}")).matches(
+            "(?s)d.yaml:9: pattern can't be run in linear time.*"), compileProblems(openApiWithPost("3.0.3", "/a", "[]", "{type: string, pattern: '(?=a)b'}")));
+        assertTrue(compileProblems(openApiWithPost("3.0.3", "/a", "[]", "{type: string, pattern: '(a)\\1'}")).contains("linear time"));
+        ContractSet by = compileContracts(openApiWithPost("3.0.3", "/a", "[]", "{type: string, pattern: '^\\u00e1\\d$'}"));
+        assertEquals("ok", summary(validateJson(by, "/a", "\"\u00e11\"")));
     }
 
-    @Test void allFaultsAreToldAtOnce() {
-        assertEquals(3, problems("openapi: 3.0.3\npaths:\n  /a: {post: {parameters: [{in: query}], requestBody: {}}}\n  b: {}\n")
+    @Test void reportsAllProblemsAtOnce() {
+        assertEquals(3, compileProblems("openapi: 3.0.3\npaths:\n  /a: {post: {parameters: [{in: query}], requestBody: {}}}\n  b: {}\n")
             .lines().count());
     }
 
-    @Test void referencesLeadThroughDocumentsAndIntoThemselves() throws DescriptionException {
-        Document main = Document.read("in/main.yaml", one("3.1.0", "/a", "[]", "{$ref: '../common/types.json#/Node'}")
+    @Test void resolvesReferencesAcrossDocumentsAndRecursion() throws DescriptionException {
+        Document main = Document.read("in/main.yaml", openApiWithPost("3.1.0", "/a", "[]", "{$ref: '../common/types.json#/Node'}")
             .getBytes(StandardCharsets.UTF_8));
         Document types = Document.read("common/types.json", ("{\"Node\":{\"type\":\"object\",\"required\":[\"v\"],"
             + "\"properties\":{\"v\":{\"$ref\":\"more.yaml\"},\"next\":{\"$ref\":\"#/Node\"}}}}").getBytes(StandardCharsets.UTF_8));
         Document more = Document.read("common/more.yaml", "type: integer".getBytes(StandardCharsets.UTF_8));
-        Contracts by = Contracts.of(1, List.of(Description.compile("d", main, List.of(types, more))), false);
-        assertEquals("ok", brief(json(by, "/a", "{\"v\":1,\"next\":{\"v\":2}}")));
-        assertEquals("422 /next/v type", brief(json(by, "/a", "{\"v\":1,\"next\":{\"v\":\"x\"}}")));
-        DescriptionException e = assertThrows(DescriptionException.class, () -> Description.compile("d", main,
+        ContractSet by = ContractSet.of(1, List.of(ApiDescription.compile("d", main, List.of(types, more))), false);
+        assertEquals("ok", summary(validateJson(by, "/a", "{\"v\":1,\"next\":{\"v\":2}}")));
+        assertEquals("422 /next/v type", summary(validateJson(by, "/a", "{\"v\":1,\"next\":{\"v\":\"x\"}}")));
+        DescriptionException e = assertThrows(DescriptionException.class, () -> ApiDescription.compile("d", main,
             List.of(types, Document.read("common/more.yaml", "$ref: 'x.yaml'".getBytes(StandardCharsets.UTF_8)))));
         assertEquals("common/more.yaml", e.problems().get(0).document());
     }
 
-    @Test void anAliasThatUnfoldsWithoutEndIsRefused() {
+    @Test void rejectsExplodingYamlAliases() {
         StringBuilder laughs = new StringBuilder("a0: &a0 [x, x]\n");
         for (int i = 1; i < 40; i++) {
             laughs.append("a").append(i).append(": &a").append(i).append(" [*a").append(i - 1).append(", *a").append(i - 1)
                 .append("]\n");
         }
-        assertTrue(problems(laughs.toString()).contains("too many values"));
-        assertTrue(problems("a: &a [*a]").contains("nested too deep"));
-        assertTrue(problems("[".repeat(100_000)).length() > 0);
+        assertTrue(compileProblems(laughs.toString()).contains("too many values"));
+        assertTrue(compileProblems("a: &a [*a]").contains("nested too deep"));
+        assertTrue(compileProblems("[".repeat(100_000)).length() > 0);
     }
 
-    @Test void descriptionsThatDescribeTheSameContradictEachOther() {
-        assertThrows(DescriptionException.class, () -> contracts(paths("post /a/{x}"), paths("post /a/{y}")));
-        assertThrows(DescriptionException.class, () -> contracts(paths("post /a/{x}", "post /a/{y}")));
+    @Test void rejectsDuplicateRoutes() {
+        assertThrows(DescriptionException.class, () -> compileContracts(openApiWithPaths("post /a/{x}"), openApiWithPaths("post /a/{y}")));
+        assertThrows(DescriptionException.class, () -> compileContracts(openApiWithPaths("post /a/{x}", "post /a/{y}")));
     }
 
-    @Test void undescribedPathsPassWhereThatIsSet() throws DescriptionException {
-        Contracts by = Contracts.of(1, List.of(description(paths("post /a"))), true);
-        assertEquals("ok", brief(bare(by, "/b")));
-        assertEquals(405, by.judge(new Request("PUT", "/a", n -> List.of(), new byte[0])).verdict().status());
+    @Test void passesUndescribedPathsIfConfigured() throws DescriptionException {
+        ContractSet by = ContractSet.of(1, List.of(compileDescription(openApiWithPaths("post /a"))), true);
+        assertEquals("ok", summary(validateWithoutBody(by, "/b")));
+        assertEquals(405, by.validate(new HttpRequest("PUT", "/a", n -> List.of(), new byte[0])).result().status());
     }
 
     @ParameterizedTest
@@ -130,21 +130,21 @@
         "{type: array, items: {maxLength: 5}}|{type: array, items: {maxLength: 3}}|maxLength is now 3",
         "{anyOf: [{type: string}, {type: integer}]}|{anyOf: [{type: string}]}|anyOf has become narrower",
         "{type: string, nullable: true}|{type: string}|no longer takes null"})
-    void whatANewRevisionRefusesIsTold(String old, String now, String change) throws DescriptionException {
-        List<Diff.Change> changes = Diff.of(description(one("3.0.3", "/a/{p}", "[{name: p, in: path, required: true, schema: {}}]", old)),
-            description(one("3.0.3", "/a/{q}", "[{name: q, in: path, required: true, schema: {}}]", now)));
+    void reportsBreakingChanges(String old, String now, String change) throws DescriptionException {
+        List<DescriptionDiff.BreakingChange> changes = DescriptionDiff.breakingChanges(compileDescription(openApiWithPost("3.0.3", "/a/{p}", "[{name: p, in: path, required: true, schema: {}}]", old)),
+            compileDescription(openApiWithPost("3.0.3", "/a/{q}", "[{name: q, in: path, required: true, schema: {}}]", now)));
         assertEquals(change == null ? 0 : 1, changes.size(), changes.toString());
         assertTrue(change == null || changes.get(0).toString().contains(change), changes.toString());
     }
 
-    @Test void theExamplesCanBeUsed() throws Exception {
-        Description open = Description.compile("press", Document.read("press.openapi.yaml",
+    @Test void compilesExampleDescriptions() throws Exception {
+        ApiDescription open = ApiDescription.compile("press", Document.read("press.openapi.yaml",
             Files.readAllBytes(Path.of("deploy/press.openapi.yaml"))), List.of());
-        Description async = Description.compile("lines", Document.read("press.asyncapi.yaml",
+        ApiDescription async = ApiDescription.compile("lines", Document.read("press.asyncapi.yaml",
             Files.readAllBytes(Path.of("deploy/press.asyncapi.yaml"))), List.of());
-        Contracts by = Contracts.of(1, List.of(open, async), false);
-        assertEquals("ok", brief(json(by, "/preview/nhan-dan?width=640", "{\"story\":\"123456\"}")));
-        assertEquals("422 /story pattern", brief(json(by, "/preview/nhan-dan", "{\"story\":\"1\"}")));
+        ContractSet by = ContractSet.of(1, List.of(open, async), false);
+        assertEquals("ok", summary(validateJson(by, "/preview/nhan-dan?width=640", "{\"story\":\"123456\"}")));
+        assertEquals("422 /story pattern", summary(validateJson(by, "/preview/nhan-dan", "{\"story\":\"1\"}")));
         assertEquals(List.of(), open.warnings());
     }
 }
--- a/src/test/java/badgermux/contract/FlowTest.java
+++ b/src/test/java/badgermux/contract/MessageStreamTest.java
@@ -1,9 +1,9 @@
 package badgermux.contract;
 
-import static badgermux.contract.Judging.brief;
-import static badgermux.contract.Judging.contracts;
-import static badgermux.contract.Judging.problems;
-import static badgermux.contract.Judging.request;
+import static badgermux.contract.ContractFixtures.summary;
+import static badgermux.contract.ContractFixtures.compileContracts;
+import static badgermux.contract.ContractFixtures.compileProblems;
+import static badgermux.contract.ContractFixtures.postRequest;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Streams of messages and their order, in both versions of AsyncAPI. */
-class FlowTest {
+class MessageStreamTest {
     private static final String MESSAGES = """
         components:
           messages:
@@ -26,7 +26,7 @@
             c: {correlationId: {location: '$message.payload#/id'}, payload: {type: object, required: [id, m], properties: {m: {const: c}}}}
         """;
     private static final String ORDER = "x-order: {first: [a], follow: {a: [b, c], b: [b, c]}, last: [c]}";
-    private static final String NEW = """
+    private static final String ASYNCAPI_3 = """
         asyncapi: 3.0.0
         info: {title: t, version: '1'}
         channels:
@@ -35,7 +35,7 @@
           in: {action: receive, channel: {$ref: '#/channels/ch'}, ORDER}
           out: {action: send, channel: {$ref: '#/channels/ch'}, ORDER}
         """.replace("ORDER", ORDER) + MESSAGES;
-    private static final String OLD = """
+    private static final String ASYNCAPI_2 = """
         asyncapi: 2.6.0
         info: {title: t, version: '1'}
         channels:
@@ -43,7 +43,7 @@
             publish: {message: {oneOf: [{$ref: '#/components/messages/a'}, {$ref: '#/components/messages/b'}, {$ref: '#/components/messages/c'}]}, ORDER}
         """.replace("ORDER", ORDER) + MESSAGES;
 
-    private static String lines(String letters) {
+    private static String jsonLines(String letters) {
         StringBuilder body = new StringBuilder();
         for (String word : letters.split(" ")) {
             body.append(word.length() < 2 ? word : "{\"id\":\"" + word.charAt(1) + "\",\"m\":\"" + word.charAt(0) + "\"}")
@@ -56,36 +56,36 @@
     @CsvSource({"a1 b1 c1,ok", "a1 c1,ok", "b1 c1,422 /0 x-order", "a1 a1,422 /1 x-order", "a1 c1 c1,422 /2 x-order",
         "a1 b1,422 /1 x-order", "a1 a2 b2 c1 c2,ok", "a1 a2 c1 b1 c2,422 /3 x-order", "a1 d1,422 /1 message", "x,400  syntax",
         "a1 b1 b1 b1 c1 a2 c2,ok"})
-    void theOrderHoldsForEachCorrelationId(String letters, String expected) throws DescriptionException {
-        for (String description : List.of(NEW, OLD)) {
-            assertEquals(expected, brief(contracts(description).judge(request("/s/1",
-                Map.of("Content-Type", "application/x-ndjson"), lines(letters).getBytes(StandardCharsets.UTF_8))).verdict()));
+    void enforcesOrderPerCorrelationId(String letters, String expected) throws DescriptionException {
+        for (String description : List.of(ASYNCAPI_3, ASYNCAPI_2)) {
+            assertEquals(expected, summary(compileContracts(description).validate(postRequest("/s/1",
+                Map.of("Content-Type", "application/x-ndjson"), jsonLines(letters).getBytes(StandardCharsets.UTF_8))).result()));
         }
     }
 
-    @Test void answersAreJudgedLineByLine() throws DescriptionException {
-        Contracts.Judged judged = contracts(NEW).judge(request("/s/1", Map.of(), new byte[0]));
-        Contracts.Lines lines = judged.terms().lines(name -> List.of());
-        assertNull(lines.next(lines("a1").strip().getBytes(StandardCharsets.UTF_8)));
-        assertNull(lines.next(lines("b1").strip().getBytes(StandardCharsets.UTF_8)));
-        assertEquals("x-order", lines.next(lines("a1").strip().getBytes(StandardCharsets.UTF_8)).keyword());
-        Contracts.Lines others = judged.terms().lines(name -> List.of());
-        assertEquals("x-order", others.next(lines("c1").strip().getBytes(StandardCharsets.UTF_8)).keyword());
+    @Test void validatesResponsesLineByLine() throws DescriptionException {
+        ContractSet.RequestValidation judged = compileContracts(ASYNCAPI_3).validate(postRequest("/s/1", Map.of(), new byte[0]));
+        ContractSet.LineValidator lines = judged.responseValidator().lineValidator(name -> List.of());
+        assertNull(lines.validate(jsonLines("a1").strip().getBytes(StandardCharsets.UTF_8)));
+        assertNull(lines.validate(jsonLines("b1").strip().getBytes(StandardCharsets.UTF_8)));
+        assertEquals("x-order", lines.validate(jsonLines("a1").strip().getBytes(StandardCharsets.UTF_8)).keyword());
+        ContractSet.LineValidator others = judged.responseValidator().lineValidator(name -> List.of());
+        assertEquals("x-order", others.validate(jsonLines("c1").strip().getBytes(StandardCharsets.UTF_8)).keyword());
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"{first: [z], follow: {}, last: [a]}", "{first: [a], follow: {a: [b]}, last: [b]}",
         "{first: [a], follow: {a: [b, c], b: [b]}, last: [c]}", "{first: [], last: [a]}", "{start: [a]}", "[a]"})
-    void anOrderThatCantBeKeptIsRefused(String order) {
-        assertTrue(problems(NEW.replace(ORDER, "x-order: " + order)).contains("x-order"), order);
+    void rejectsUnsatisfiableOrder(String order) {
+        assertTrue(compileProblems(ASYNCAPI_3.replace(ORDER, "x-order: " + order)).contains("x-order"), order);
     }
 
-    @Test void headersBelongToAMessageToo() throws DescriptionException {
-        Contracts by = contracts(NEW.replace("a: {correlationId", "a: {headers: {type: object, required: [X-Desk], properties: "
+    @Test void validatesMessageHeaders() throws DescriptionException {
+        ContractSet by = compileContracts(ASYNCAPI_3.replace("a: {correlationId", "a: {headers: {type: object, required: [X-Desk], properties: "
             + "{X-Desk: {enum: [sport]}}}, correlationId"));
         Map<String, String> headers = Map.of("Content-Type", "application/x-ndjson", "x-desk", "sport");
-        assertTrue(by.judge(request("/s/1", headers, lines("a1 c1").getBytes(StandardCharsets.UTF_8))).verdict().conforms());
-        assertEquals(422, by.judge(request("/s/1", Map.of("Content-Type", "application/x-ndjson"),
-            lines("a1 c1").getBytes(StandardCharsets.UTF_8))).verdict().status());
+        assertTrue(by.validate(postRequest("/s/1", headers, jsonLines("a1 c1").getBytes(StandardCharsets.UTF_8))).result().conforms());
+        assertEquals(422, by.validate(postRequest("/s/1", Map.of("Content-Type", "application/x-ndjson"),
+            jsonLines("a1 c1").getBytes(StandardCharsets.UTF_8))).result().status());
     }
 }
--- a/src/test/java/badgermux/contract/ParametersTest.java
+++ b/src/test/java/badgermux/contract/ParameterValidationTest.java
@@ -1,10 +1,10 @@
 package badgermux.contract;
 
-import static badgermux.contract.Judging.bare;
-import static badgermux.contract.Judging.brief;
-import static badgermux.contract.Judging.contracts;
-import static badgermux.contract.Judging.one;
-import static badgermux.contract.Judging.request;
+import static badgermux.contract.ContractFixtures.validateWithoutBody;
+import static badgermux.contract.ContractFixtures.summary;
+import static badgermux.contract.ContractFixtures.compileContracts;
+import static badgermux.contract.ContractFixtures.openApiWithPost;
+import static badgermux.contract.ContractFixtures.postRequest;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.Map;
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Parameters in each place and style of OpenAPI's table of styles. */
-class ParametersTest {
+class ParameterValidationTest {
     private static final String ARRAY = "schema: {type: array, items: {type: integer}, minItems: 2}";
     private static final String OBJECT = "schema: {type: object, required: [r], properties: {r: {type: integer}, g: {type: string}}}";
 
@@ -31,11 +31,11 @@
         "label|false|ARRAY|.1,2|ok", "label|true|ARRAY|.1.2|ok", "label|true|ARRAY|1.2|422 /p style",
         "matrix|false|ARRAY|;p=1,2|ok", "matrix|true|ARRAY|;p=1;p=2|ok", "matrix|true|ARRAY|;q=1;p=2|422 /p style",
         "matrix|false|{type: integer}|;p=7|ok", "matrix|true|OBJECT|;r=1;g=a|ok", "matrix|false|OBJECT|;p=r,1|ok"})
-    void path(String style, boolean explode, String schema, String value, String expected) throws DescriptionException {
+    void validatesPathParameters(String style, boolean explode, String schema, String value, String expected) throws DescriptionException {
         String of = schema.equals("ARRAY") ? ARRAY : schema.equals("OBJECT") ? OBJECT : "schema: " + schema;
-        Contracts by = contracts(one("3.0.3", "/a/{p}", "[{name: p, in: path, required: true, style: " + style
+        ContractSet by = compileContracts(openApiWithPost("3.0.3", "/a/{p}", "[{name: p, in: path, required: true, style: " + style
             + ", explode: " + explode + ", " + of + "}]", null));
-        assertEquals(expected, brief(bare(by, "/a/" + (value == null ? "" : value))).stripTrailing());
+        assertEquals(expected, summary(validateWithoutBody(by, "/a/" + (value == null ? "" : value))).stripTrailing());
     }
 
     @ParameterizedTest
@@ -51,12 +51,12 @@
         "form|false|OBJECT|p=r,1|ok", "deepObject|true|OBJECT|p[r]=1&p[g]=a|ok",
         "deepObject|true|OBJECT|p%5Br%5D=1|ok", "deepObject|true|OBJECT|p[g]=a|422 /p required",
         "deepObject|true|OBJECT|p[r]=1&p[r]=2|422 /p repeated", "form|true|{type: integer}|p=%|400  syntax"})
-    void query(String style, boolean explode, String schema, String query, String expected)
+    void validatesQueryParameters(String style, boolean explode, String schema, String query, String expected)
             throws DescriptionException {
         String of = schema.equals("ARRAY") ? ARRAY : schema.equals("OBJECT") ? OBJECT : "schema: " + schema;
-        Contracts by = contracts(one("3.1.0", "/a", "[{name: p, in: query, required: true, style: " + style + ", explode: "
+        ContractSet by = compileContracts(openApiWithPost("3.1.0", "/a", "[{name: p, in: query, required: true, style: " + style + ", explode: "
             + explode + ", " + of + "}]", null));
-        assertEquals(expected, brief(bare(by, "/a?" + query)));
+        assertEquals(expected, summary(validateWithoutBody(by, "/a?" + query)));
     }
 
     @ParameterizedTest
@@ -71,9 +71,9 @@
         "cookie|{name: s, required: true, schema: {type: integer}}|Cookie: a=b; s=5|ok",
         "cookie|{name: s, required: true, schema: {type: integer}}|Cookie: s=5; s=6|422 /s repeated",
         "cookie|{name: s, required: true, schema: {type: integer}}|Cookie: ss=5|422 /s required"})
-    void headersAndCookies(String in, String parameter, String line, String expected) throws DescriptionException {
-        Contracts by = contracts(one("3.0.3", "/a", "[" + parameter.replaceFirst("\\{", "{in: " + in + ", ") + "]", null));
+    void validatesHeadersAndCookies(String in, String parameter, String line, String expected) throws DescriptionException {
+        ContractSet by = compileContracts(openApiWithPost("3.0.3", "/a", "[" + parameter.replaceFirst("\\{", "{in: " + in + ", ") + "]", null));
         String[] header = line.split(": ", 2);
-        assertEquals(expected, brief(by.judge(request("/a", Map.of(header[0], header[1]), new byte[0])).verdict()));
+        assertEquals(expected, summary(by.validate(postRequest("/a", Map.of(header[0], header[1]), new byte[0])).result()));
     }
 }
--- a/src/test/java/badgermux/core/EngineTest.java
+++ b/src/test/java/badgermux/core/EngineTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import badgermux.decide.Dispatch;
-import badgermux.decide.Dispatch.Outcome;
+import badgermux.decide.DispatchPolicy;
+import badgermux.decide.DispatchPolicy.Outcome;
 import badgermux.metrics.Metrics;
 import badgermux.metrics.Metrics.Count;
 import java.util.ArrayList;
@@ -17,110 +17,110 @@
 class EngineTest {
     private static final long SECOND = 1_000_000;
 
-    private final List<String> told = new ArrayList<>();
+    private final List<String> policyEvents = new ArrayList<>();
     private final List<String> answers = new ArrayList<>();
-    private final List<Long> attempted = new ArrayList<>();
-    private final List<Long> aborted = new ArrayList<>();
-    private final List<Long> unsent = new ArrayList<>();
+    private final List<Long> startedAttempts = new ArrayList<>();
+    private final List<Long> abortedAttempts = new ArrayList<>();
+    private final List<Long> unwrittenAttempts = new ArrayList<>();
     private final Metrics metrics = new Metrics(List.of("a", "b", "c"));
     private long now = SECOND;
     private final Deadlines deadlines = new Deadlines(() -> now, at -> { }, metrics);
     private final Engine<String> engine = new Engine<>(() -> now, deadlines, metrics, 2);
-    private Runnable onRequest = () -> { };
-    private Runnable onOutcome = () -> { };
-    private long job;
-    private boolean timeKnown = true;
+    private Runnable onRequestReceived = () -> { };
+    private Runnable onAttemptEnded = () -> { };
+    private long requestId;
+    private boolean isDeadlineKnown = true;
 
-    private final Asker asker = new Asker() {
-        @Override public void served(byte[] result) {
+    private final ResponseListener listener = new ResponseListener() {
+        @Override public void onServed(byte[] result) {
             answers.add("served " + new String(result, java.nio.charset.StandardCharsets.UTF_8));
         }
 
-        @Override public void synthetic(long comeBack) {
+        @Override public void onRefused(long comeBack) {
             answers.add("synthetic " + comeBack);
         }
 
-        @Override public void failed(boolean late) {
+        @Override public void onFailed(boolean late) {
             answers.add("failed " + late);
         }
     };
 
     EngineTest() {
-        engine.join(new Module(), new Outbound<>() {
-            @Override public void attempt(long attempt, long backend, String payload, long limit) {
-                attempted.add(attempt);
+        engine.connect(new RecordingPolicy(), new BackendClient<>() {
+            @Override public void startAttempt(long attempt, long backend, String payload, long limit) {
+                startedAttempts.add(attempt);
             }
 
             @Override public void abort(long attempt) {
-                aborted.add(attempt);
+                abortedAttempts.add(attempt);
             }
 
             @Override public boolean withdraw(long attempt) {
-                return unsent.remove(attempt);
+                return unwrittenAttempts.remove(attempt);
             }
 
             @Override public void probe(long backend) { }
 
-            @Override public void release(long backend) { }
+            @Override public void closeIdleConnections(long backend) { }
         }, () -> { });
     }
 
-    private final class Module implements Dispatch {
-        @Override public Heritage leave() {
+    private final class RecordingPolicy implements DispatchPolicy {
+        @Override public LearnedState exportLearnedState() {
             return null;
         }
 
-        @Override public void inherit(Heritage left) { }
+        @Override public void importLearnedState(LearnedState left) { }
 
-        @Override public void ending(long time, long job) {
-            told.add("ending " + (job == EngineTest.this.job));
+        @Override public void answerBeforeExit(long time, long job) {
+            policyEvents.add("ending " + (job == EngineTest.this.requestId));
         }
 
 
-        @Override public boolean avoids(long worker) {
+        @Override public boolean isAvoided(long worker) {
             return false;
         }
 
-        @Override public void workers(long time, ListUpdate update, List<Worker> workers) { }
+        @Override public void backendsListed(long time, ListUpdate update, List<Backend> workers) { }
 
-        @Override public void request(long time, Job taken) {
-            job = taken.id();
-            onRequest.run();
+        @Override public void requestReceived(long time, Request taken) {
+            requestId = taken.id();
+            onRequestReceived.run();
         }
 
-        @Override public void started(long time, long id, int attempt) {
-            told.add("started " + attempt);
+        @Override public void attemptStarted(long time, long id, int attempt) {
+            policyEvents.add("started " + attempt);
         }
 
-        @Override public void progress(long time, long id, int attempt) { }
+        @Override public void attemptProgressed(long time, long id, int attempt) { }
 
-        @Override public void streaming(long time, long id, int attempt) { }
+        @Override public void responseStreaming(long time, long id, int attempt) { }
 
-        @Override public void outcome(long time, long id, int attempt, long worker, Outcome outcome, boolean settled,
-                Report report) {
-            told.add(attempt + " " + outcome + " " + settled);
-            onOutcome.run();
+        @Override public void attemptEnded(long time, long id, int attempt, long worker, Outcome outcome, boolean settled,
+                LoadReport report) {
+            policyEvents.add(attempt + " " + outcome + " " + settled);
+            onAttemptEnded.run();
         }
 
-        @Override public void probed(long time, long worker, boolean answered, Report report) { }
+        @Override public void probeEnded(long time, long worker, boolean answered, LoadReport report) { }
 
-        @Override public void clientGone(long time, long id) {
-            told.add("gone");
+        @Override public void clientDisconnected(long time, long id) {
+            policyEvents.add("gone");
         }
 
-        @Override public void timer(long time, int token) {
-            told.add("timer " + token);
+        @Override public void timerFired(long time, int token) {
+            policyEvents.add("timer " + token);
         }
     }
 
-    private void take(Runnable decision) {
-        onRequest = decision;
-        engine.take(asker, "payload", 0, 0, 1, now + 10 * SECOND, timeKnown);
+    private void submit(Runnable decision) {
+        onRequestReceived = decision;
+        engine.submit(listener, "payload", 0, 0, 1, now + 10 * SECOND, isDeadlineKnown);
     }
 
-    private void sendTwo() {
-        engine.send(job, 1);
-        engine.send(job, 2);
+    private void sendTwoAttempts() {
+        engine.send(requestId, 1);
+        engine.send(requestId, 2);
     }
 
     private static byte[] bytes(String text) {
@@ -128,125 +128,125 @@
     }
 
     /** A second connection was still coming up: its attempt was written although the client had its answer. */
-    @Test void whatHasNotBeenWrittenIsTakenBackOnceItsRequestIsOver() {
-        take(this::sendTwo);
-        unsent.add(attempted.get(1));
-        engine.ended(attempted.get(0), Outcome.SERVED, bytes("r"), null);
-        assertEquals(List.of("1 MOOT true", "0 SERVED true"), told);
-        engine.ended(attempted.get(1), Outcome.SERVED, bytes("late"), null);
+    @Test void unwrittenAttemptsAreWithdrawnWhenRequestCloses() {
+        submit(this::sendTwoAttempts);
+        unwrittenAttempts.add(startedAttempts.get(1));
+        engine.attemptEnded(startedAttempts.get(0), Outcome.SERVED, bytes("r"), null);
+        assertEquals(List.of("1 MOOT true", "0 SERVED true"), policyEvents);
+        engine.attemptEnded(startedAttempts.get(1), Outcome.SERVED, bytes("late"), null);
         assertEquals(List.of("served r"), answers);
-        take(() -> engine.send(job, 1));
-        unsent.add(attempted.get(2));
-        engine.askerGone(job);
-        assertEquals(List.of("0 MOOT true", "gone"), told.subList(2, 4));
-        assertEquals(0, engine.open());
+        submit(() -> engine.send(requestId, 1));
+        unwrittenAttempts.add(startedAttempts.get(2));
+        engine.clientDisconnected(requestId);
+        assertEquals(List.of("0 MOOT true", "gone"), policyEvents.subList(2, 4));
+        assertEquals(0, engine.openRequestCount());
     }
 
     /** The module went on holding a request that had its answer, and sent it later. */
-    @Test void anExceptionEndsItsRequestWithTheModuleToo() {
-        take(() -> {
+    @Test void exceptionInEventEndsRequestForPolicyToo() {
+        submit(() -> {
             throw new IllegalStateException("seen in a test");
         });
         assertEquals(List.of("failed false"), answers);
-        assertEquals(List.of("gone"), told);
-        assertEquals(0, engine.open());
+        assertEquals(List.of("gone"), policyEvents);
+        assertEquals(0, engine.openRequestCount());
     }
 
     /** Its client's connection had an exception: the outcome never reached the module, which waited for it. */
-    @Test void anExceptionAtAnAnswerKeepsNoOutcomeFromTheModule() {
-        Asker breaks = new Asker() {
-            @Override public void served(byte[] result) {
+    @Test void exceptionInListenerDoesNotHideOutcomeFromPolicy() {
+        ResponseListener breaks = new ResponseListener() {
+            @Override public void onServed(byte[] result) {
                 throw new IllegalStateException("seen in a test");
             }
 
-            @Override public void synthetic(long comeBack) { }
+            @Override public void onRefused(long comeBack) { }
 
-            @Override public void failed(boolean late) { }
+            @Override public void onFailed(boolean late) { }
         };
-        onRequest = () -> engine.send(job, 1);
-        engine.take(breaks, "payload", 0, 0, 1, now + 10 * SECOND, true);
-        engine.ended(attempted.get(0), Outcome.SERVED, bytes("r"), null);
-        assertEquals(List.of("0 SERVED true"), told);
+        onRequestReceived = () -> engine.send(requestId, 1);
+        engine.submit(breaks, "payload", 0, 0, 1, now + 10 * SECOND, true);
+        engine.attemptEnded(startedAttempts.get(0), Outcome.SERVED, bytes("r"), null);
+        assertEquals(List.of("0 SERVED true"), policyEvents);
         assertEquals(1, metrics.get(Count.EXCEPTIONS));
     }
 
-    @Test void theFirstResultIsTheAnswerAndTheOthersAreStillTold() {
-        take(this::sendTwo);
-        engine.started(attempted.get(0));
-        engine.ended(attempted.get(1), Outcome.SERVED, bytes("r"), null);
-        engine.ended(attempted.get(0), Outcome.SERVED, bytes("other"), null);
+    @Test void firstResultIsAnswerAndLaterOutcomesReachPolicy() {
+        submit(this::sendTwoAttempts);
+        engine.attemptStarted(startedAttempts.get(0));
+        engine.attemptEnded(startedAttempts.get(1), Outcome.SERVED, bytes("r"), null);
+        engine.attemptEnded(startedAttempts.get(0), Outcome.SERVED, bytes("other"), null);
         assertEquals(List.of("served r"), answers);
-        assertEquals(List.of("started 0", "1 SERVED true", "0 SERVED true"), told);
-        assertEquals(0, engine.open());
+        assertEquals(List.of("started 0", "1 SERVED true", "0 SERVED true"), policyEvents);
+        assertEquals(0, engine.openRequestCount());
     }
 
-    @Test void aCancelledAttemptIsToldAfterTheEventThatCancelledIt() {
-        take(this::sendTwo);
-        onOutcome = () -> {
-            onOutcome = () -> { };
-            engine.cancel(job, 1);
-            told.add("end of event");
+    @Test void cancelledOutcomeFollowsTheCancellingEvent() {
+        submit(this::sendTwoAttempts);
+        onAttemptEnded = () -> {
+            onAttemptEnded = () -> { };
+            engine.cancel(requestId, 1);
+            policyEvents.add("end of event");
         };
-        engine.ended(attempted.get(0), Outcome.ERROR, null, null);
-        assertEquals(List.of("0 ERROR false", "end of event", "1 CANCELLED false"), told);
-        assertEquals(List.of(attempted.get(1)), aborted);
-        engine.ended(attempted.get(1), Outcome.SERVED, bytes("late"), null);
+        engine.attemptEnded(startedAttempts.get(0), Outcome.ERROR, null, null);
+        assertEquals(List.of("0 ERROR false", "end of event", "1 CANCELLED false"), policyEvents);
+        assertEquals(List.of(startedAttempts.get(1)), abortedAttempts);
+        engine.attemptEnded(startedAttempts.get(1), Outcome.SERVED, bytes("late"), null);
         assertEquals(List.of(), answers);
         assertEquals(1, metrics.get(Count.LATE_EVENTS));
     }
 
-    @Test void tooManyAttemptsAreMoot() {
-        take(() -> {
-            sendTwo();
-            engine.send(job, 3);
+    @Test void attemptsBeyondLimitAreMoot() {
+        submit(() -> {
+            sendTwoAttempts();
+            engine.send(requestId, 3);
         });
-        assertEquals(List.of("2 MOOT false"), told);
-        assertEquals(2, attempted.size());
+        assertEquals(List.of("2 MOOT false"), policyEvents);
+        assertEquals(2, startedAttempts.size());
     }
 
-    @Test void aAttemptTimesOutBeforeItsClientGivesUp() {
-        take(() -> engine.send(job, 1));
-        onOutcome = () -> engine.fail(job);
-        now += 10 * SECOND - Engine.ATTEMPT_MARGIN - 1;
+    @Test void attemptTimesOutBeforeClientDeadline() {
+        submit(() -> engine.send(requestId, 1));
+        onAttemptEnded = () -> engine.fail(requestId);
+        now += 10 * SECOND - Engine.ATTEMPT_MARGIN_MICROS - 1;
         deadlines.runDue();
-        assertEquals(List.of(), told);
+        assertEquals(List.of(), policyEvents);
         now++;
         deadlines.runDue();
-        assertEquals(List.of("0 TIMED_OUT false"), told);
+        assertEquals(List.of("0 TIMED_OUT false"), policyEvents);
         assertEquals(List.of("failed true"), answers);
-        assertEquals(attempted, aborted);
+        assertEquals(startedAttempts, abortedAttempts);
     }
 
-    @Test void aRequestThatTheModuleForgetsIsFailedInTime() {
-        take(() -> { });
-        now += 10 * SECOND - Engine.ANSWER_MARGIN;
+    @Test void requestWithoutDecisionFailsBeforeClientDeadline() {
+        submit(() -> { });
+        now += 10 * SECOND - Engine.ANSWER_MARGIN_MICROS;
         deadlines.runDue();
         assertEquals(List.of("failed true"), answers);
-        assertEquals(List.of("gone"), told);
-        engine.refuse(job, 0);
+        assertEquals(List.of("gone"), policyEvents);
+        engine.refuse(requestId, 0);
         assertEquals(1, answers.size());
     }
 
-    @Test void anExceptionEndsItsRequestWithAnAnswerAndNothingElse() {
-        take(() -> {
+    @Test void exceptionInEventFailsOnlyItsRequest() {
+        submit(() -> {
             throw new IllegalStateException("seen in a test");
         });
         assertEquals(List.of("failed false"), answers);
-        take(() -> engine.refuse(job, 7));
+        submit(() -> engine.refuse(requestId, 7));
         assertEquals(List.of("failed false", "synthetic 7"), answers);
         assertEquals(1, metrics.get(Count.EXCEPTIONS));
     }
 
-    @Test void aClientThatLeavesGetsNoAnswer() {
-        take(() -> engine.send(job, 1));
-        engine.askerGone(job);
-        engine.ended(attempted.get(0), Outcome.SERVED, bytes("r"), null);
-        assertEquals(List.of("gone", "0 SERVED true"), told);
+    @Test void disconnectedClientGetsNoAnswer() {
+        submit(() -> engine.send(requestId, 1));
+        engine.clientDisconnected(requestId);
+        engine.attemptEnded(startedAttempts.get(0), Outcome.SERVED, bytes("r"), null);
+        assertEquals(List.of("gone", "0 SERVED true"), policyEvents);
         assertEquals(List.of(), answers);
     }
 
-    @Test void aSlotsNextEntryHasAnotherHandle() {
-        SlotTable<String> table = new SlotTable<>();
+    @Test void reusedIndexGetsNewHandle() {
+        HandleTable<String> table = new HandleTable<>();
         long first = table.add("a");
         assertEquals("a", table.remove(first));
         long second = table.add("b");
@@ -257,40 +257,40 @@
         assertEquals(1, table.size());
     }
 
-    @Test void unixTimesLieOnTheModulesClock() {
+    @Test void unixTimesConvertToClockTime() {
         Clock clock = new Clock();
-        long before = clock.now();
+        long before = clock.nowMicros();
         assertEquals(0, clock.fromUnixMillis(0));
         assertEquals(System.currentTimeMillis() * 1000.0, clock.fromUnixMillis(System.currentTimeMillis()), SECOND);
-        assertEquals(clock.now(), clock.fromUnixMillis(System.currentTimeMillis()), SECOND);
-        assertTrue(clock.now() >= before);
+        assertEquals(clock.nowMicros(), clock.fromUnixMillis(System.currentTimeMillis()), SECOND);
+        assertTrue(clock.nowMicros() >= before);
     }
 
-    @Test void deadlinesRunInOrderAndFaultsStopNone() {
-        deadlines.after(20, () -> told.add("b"));
-        deadlines.after(10, () -> {
+    @Test void exceptionInDeadlineDoesNotStopLaterOnes() {
+        deadlines.scheduleAfter(20, () -> policyEvents.add("b"));
+        deadlines.scheduleAfter(10, () -> {
             throw new IllegalStateException("seen in a test");
         });
-        Deadlines.Deadline cancelled = deadlines.after(15, () -> told.add("never"));
-        deadlines.after(10, () -> told.add("a"));
+        Deadlines.Deadline cancelled = deadlines.scheduleAfter(15, () -> policyEvents.add("never"));
+        deadlines.scheduleAfter(10, () -> policyEvents.add("a"));
         deadlines.cancel(cancelled);
         now += 20;
         deadlines.runDue();
-        assertEquals(List.of("a", "b"), told);
+        assertEquals(List.of("a", "b"), policyEvents);
         assertEquals(1, metrics.get(Count.EXCEPTIONS));
     }
 
     /** A connection that waited to be let in: what its client has left is not known, and may not be told once more. */
-    @Test void aRequestOfUnknownTimeHasOneAttemptOnly() {
-        timeKnown = false;
-        onOutcome = () -> {
-            if (told.size() < 2) {
-                engine.send(job, 2);
+    @Test void requestWithUnknownDeadlineHasOneAttempt() {
+        isDeadlineKnown = false;
+        onAttemptEnded = () -> {
+            if (policyEvents.size() < 2) {
+                engine.send(requestId, 2);
             }
         };
-        take(() -> engine.send(job, 1));
-        engine.ended(attempted.get(0), Outcome.REJECTED, null, null);
-        assertEquals(1, attempted.size(), "the second one never begins");
-        assertTrue(told.get(told.size() - 1).contains("MOOT"), told.toString());
+        submit(() -> engine.send(requestId, 1));
+        engine.attemptEnded(startedAttempts.get(0), Outcome.REJECTED, null, null);
+        assertEquals(1, startedAttempts.size(), "the second one never begins");
+        assertTrue(policyEvents.get(policyEvents.size() - 1).contains("MOOT"), policyEvents.toString());
     }
 }
--- a/src/test/java/badgermux/decide/Example.java
+++ b/src/test/java/badgermux/decide/Example.java
@@ -3,20 +3,20 @@
 import java.util.List;
 
 /** The README's program: one list, one request, one outcome, and the actions that they bring. */
-public final class Example implements Dispatch.Actions {
+public final class Example implements DispatchPolicy.Actions {
     public static void main(String[] args) {
-        Dispatch.Settings settings = new Dispatch.Settings();
-        settings.classes.add(new Dispatch.JobClass("render", Dispatch.Effect.REPEATABLE, Dispatch.Scope.ALL,
+        DispatchPolicy.Settings settings = new DispatchPolicy.Settings();
+        settings.classes.add(new DispatchPolicy.RequestClass("render", DispatchPolicy.Effect.REPEATABLE, DispatchPolicy.DedupScope.ALL,
             300_000, 1.5, 5_000_000, 0, 1, 0, -1, false));
         settings.maxAttempts = 2;
-        Dispatcher dispatcher = new Dispatcher(settings, 42, new Example());
+        DefaultDispatchPolicy dispatcher = new DefaultDispatchPolicy(settings, 42, new Example());
 
-        dispatcher.workers(0, Dispatch.ListUpdate.FULL, List.of(
-            new Dispatch.Worker(1, 0, 0, 0, Dispatch.WorkerState.READY, 0),
-            new Dispatch.Worker(2, 0, 0, 0, Dispatch.WorkerState.DRAINING, 0)));
-        dispatcher.request(1_000, new Dispatch.Job(77, 0, 0, 1, 0, 5_000_000));
-        dispatcher.outcome(2_000, 77, 0, 1, Dispatch.Outcome.CONNECT_FAILED, false, null);
-        dispatcher.outcome(3_000, 77, 1, 1, Dispatch.Outcome.CONNECT_FAILED, false, null);
+        dispatcher.backendsListed(0, DispatchPolicy.ListUpdate.FULL, List.of(
+            new DispatchPolicy.Backend(1, 0, 0, 0, DispatchPolicy.BackendState.READY, 0),
+            new DispatchPolicy.Backend(2, 0, 0, 0, DispatchPolicy.BackendState.DRAINING, 0)));
+        dispatcher.requestReceived(1_000, new DispatchPolicy.Request(77, 0, 0, 1, 0, 5_000_000));
+        dispatcher.attemptEnded(2_000, 77, 0, 1, DispatchPolicy.Outcome.CONNECT_FAILED, false, null);
+        dispatcher.attemptEnded(3_000, 77, 1, 1, DispatchPolicy.Outcome.CONNECT_FAILED, false, null);
     }
 
     @Override public void send(long job, long worker) {
@@ -35,7 +35,7 @@
         System.out.println("cancel attempt " + attempt + " of job " + job);
     }
 
-    @Override public void timer(long delay, int token) {
+    @Override public void startTimer(long delay, int token) {
         System.out.println("call timer(" + token + ") in " + delay + " us");
     }
 
@@ -43,11 +43,11 @@
         System.out.println("probe worker " + worker);
     }
 
-    @Override public void release(long worker) {
+    @Override public void closeIdleConnections(long worker) {
         System.out.println("close idle connections to worker " + worker);
     }
 
-    @Override public void watch() {
+    @Override public void watchBackendList() {
         System.out.println("watch the list");
     }
 
--- a/src/test/java/badgermux/decide/WarmupFleet.java
+++ b/src/test/java/badgermux/decide/WarmupSimulation.java
@@ -1,16 +1,16 @@
 package badgermux.decide;
 
-import badgermux.decide.Dispatch.Actions;
-import badgermux.decide.Dispatch.Effect;
-import badgermux.decide.Dispatch.Heritage;
-import badgermux.decide.Dispatch.Job;
-import badgermux.decide.Dispatch.JobClass;
-import badgermux.decide.Dispatch.ListUpdate;
-import badgermux.decide.Dispatch.Outcome;
-import badgermux.decide.Dispatch.Scope;
-import badgermux.decide.Dispatch.Settings;
-import badgermux.decide.Dispatch.Worker;
-import badgermux.decide.Dispatch.WorkerState;
+import badgermux.decide.DispatchPolicy.Actions;
+import badgermux.decide.DispatchPolicy.Effect;
+import badgermux.decide.DispatchPolicy.LearnedState;
+import badgermux.decide.DispatchPolicy.Request;
+import badgermux.decide.DispatchPolicy.RequestClass;
+import badgermux.decide.DispatchPolicy.ListUpdate;
+import badgermux.decide.DispatchPolicy.Outcome;
+import badgermux.decide.DispatchPolicy.DedupScope;
+import badgermux.decide.DispatchPolicy.Settings;
+import badgermux.decide.DispatchPolicy.Backend;
+import badgermux.decide.DispatchPolicy.BackendState;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -24,93 +24,93 @@
  * may be sent to a cold worker is sent. Everything is drawn from one seed: settings, how long jobs run, when each dispatcher
  * is told of the starts, bursts at any time and around the ends of windows, calm spells, restarts. Times are microseconds.
  */
-final class WarmupFleet {
+final class WarmupSimulation {
     private static final long SECOND = 1_000_000, LATEST_NEWS = 6 * SECOND;
     private static final int CLASSES = 3, MOST_WORKERS = 24, WINDOWS = 7, MOST_BURSTS = 8;
 
     /** How a dispatcher of the fleet is started anew. */
-    enum Restarts { NONE, HANDED_OVER, KILLED, FORGETFUL }
+    enum Restarts { NONE, HANDED_OVER, KILLED, STATE_LOST }
 
     private record Event(long at, int order, Runnable what) { }
 
     private record Sent(long at, double work) { }
 
     /** A worker, and the work that came from dispatchers which had been told of its start. */
-    private static final class Cold {
+    private static final class ColdBackend {
         final long id;
         final Deque<Sent> lately = new ArrayDeque<>();
         double sum;
 
-        Cold(long id) {
+        ColdBackend(long id) {
             this.id = id;
         }
     }
 
-    private final class Member implements Actions {
+    private final class SimulatedDispatcher implements Actions {
         final int index;
-        Dispatcher module;
-        long toldAt = Long.MAX_VALUE;
-        int life;
+        DefaultDispatchPolicy policy;
+        long startKnownAt = Long.MAX_VALUE;
+        int processNumber;
 
-        Member(int index) {
+        SimulatedDispatcher(int index) {
             this.index = index;
         }
 
-        void start(Heritage left) {
-            life++;
+        void start(LearnedState left) {
+            processNumber++;
             Settings own = settings();
-            own.index = index;
-            module = new Dispatcher(own, random.nextLong(), this);
-            module.workers(now, ListUpdate.FULL, list());
+            own.dispatcherIndex = index;
+            policy = new DefaultDispatchPolicy(own, random.nextLong(), this);
+            policy.backendsListed(now, ListUpdate.FULL, list());
             if (left != null) {
-                module.inherit(left);
+                policy.importLearnedState(left);
             }
         }
 
-        private List<Worker> list() {
-            if (now < toldAt && !listedBefore) {
+        private List<Backend> list() {
+            if (now < startKnownAt && !listedBefore) {
                 return List.of();
             }
-            return workers.stream().map(w -> new Worker(w.id, 0, 0, 0, WorkerState.READY, now < toldAt ? 0 : startedAt)).toList();
+            return workers.stream().map(w -> new Backend(w.id, 0, 0, 0, BackendState.READY, now < startKnownAt ? 0 : startedAt)).toList();
         }
 
-        void told() {
-            toldAt = now;
-            module.workers(now, ListUpdate.FULL, list());
+        void learnStart() {
+            startKnownAt = now;
+            policy.backendsListed(now, ListUpdate.FULL, list());
         }
 
         void burst(int jobs, int jobClass) {
             for (int i = 0; i < jobs; i++) {
                 // The longest first: who is first in turn spends most, and others what still fits.
-                Job job = new Job(nextJob++, jobClass < 0 ? i * CLASSES / jobs : jobClass, 0, 1, 0, 3 * window);
-                classOf.add(job.jobClass());
+                Request job = new Request(nextJob++, jobClass < 0 ? i * CLASSES / jobs : jobClass, 0, 1, 0, 3 * window);
+                classOf.add(job.classIndex());
                 attempts.add(0);
-                module.request(now, job);
+                policy.requestReceived(now, job);
             }
         }
 
         @Override public void send(long job, long worker) {
             int attempt = attempts.get((int) job);
             attempts.set((int) job, attempt + 1);
-            sends++;
-            if (now >= toldAt) {
-                count(worker, runs[classOf.get((int) job)]);
+            sendCount++;
+            if (now >= startKnownAt) {
+                countWork(worker, runs[classOf.get((int) job)]);
             }
-            int mine = life;
+            int mine = processNumber;
             if (random.nextInt(3) == 0) {
-                at(now + 1 + random.nextInt(50_000), () -> {
-                    if (mine == life) {
-                        module.outcome(now, job, attempt, worker, Outcome.REJECTED, false, null);
+                scheduleAt(now + 1 + random.nextInt(50_000), () -> {
+                    if (mine == processNumber) {
+                        policy.attemptEnded(now, job, attempt, worker, Outcome.REJECTED, false, null);
                     }
                 });
             }
         }
 
-        @Override public void timer(long delay, int token) {
-            int mine = life;
-            at(now + delay, () -> {
-                if (mine == life) {
-                    module.timer(now, token);
+        @Override public void startTimer(long delay, int token) {
+            int mine = processNumber;
+            scheduleAt(now + delay, () -> {
+                if (mine == processNumber) {
+                    policy.timerFired(now, token);
                 }
             });
         }
@@ -123,9 +123,9 @@
 
         @Override public void probe(long worker) { }
 
-        @Override public void release(long worker) { }
+        @Override public void closeIdleConnections(long worker) { }
 
-        @Override public void watch() { }
+        @Override public void watchBackendList() { }
 
         @Override public void log(String line) { }
     }
@@ -144,8 +144,8 @@
     private final boolean listedBefore;
     private final PriorityQueue<Event> events =
         new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : a.order - b.order);
-    private final List<Member> members = new ArrayList<>();
-    private final List<Cold> workers = new ArrayList<>();
+    private final List<SimulatedDispatcher> members = new ArrayList<>();
+    private final List<ColdBackend> workers = new ArrayList<>();
     private final List<Integer> classOf = new ArrayList<>();
     private final List<Integer> attempts = new ArrayList<>();
     private long now = 1_000 * SECOND;
@@ -154,16 +154,16 @@
     private int order;
     private double mean;
     /** The most work that came to a worker in any window, against N + 2 root N + 2 jobs of mean work. */
-    double worst;
+    double worstLimitRatio;
     /** How much was sent in all. */
-    int sends;
+    int sendCount;
 
     /**
      * Draws a fleet.
      *
      * @param mixed whether classes differ in how long they run
      */
-    WarmupFleet(long seed, int dispatchers, Restarts restarts, boolean mixed) {
+    WarmupSimulation(long seed, int dispatchers, Restarts restarts, boolean mixed) {
         this.dispatchers = dispatchers;
         this.restarts = restarts;
         random = new Random(seed);
@@ -186,20 +186,20 @@
         }
         int count = 1 + random.nextInt(dispatchers > 100 ? MOST_WORKERS / 4 : MOST_WORKERS);
         for (int i = 0; i < count; i++) {
-            workers.add(new Cold(random.nextLong()));
+            workers.add(new ColdBackend(random.nextLong()));
         }
     }
 
     /** Plays some windows from the workers' start on. */
-    void play() {
-        Heritage known = taught();
-        mean = known.learnt()[0];
+    void run() {
+        LearnedState known = learnedState();
+        mean = known.statistics()[0];
         startedAt = now + window;
         for (int i = 0; i < dispatchers; i++) {
-            Member member = new Member(i);
+            SimulatedDispatcher member = new SimulatedDispatcher(i);
             members.add(member);
             member.start(known);
-            at(startedAt + random.nextLong(Math.min(LATEST_NEWS, 2 * window)), member::told);
+            scheduleAt(startedAt + random.nextLong(Math.min(LATEST_NEWS, 2 * window)), member::learnStart);
         }
         long end = startedAt + WINDOWS * window;
         // After a calm spell dispatchers have used less than they might, and have more turns.
@@ -209,8 +209,8 @@
             burst(calm + random.nextInt(WINDOWS - calm));
         }
         for (int i = 0; restarts != Restarts.NONE && i < Math.max(1, dispatchers / 3); i++) {
-            Member member = members.get(random.nextInt(dispatchers));
-            at(startedAt + random.nextLong(WINDOWS * window), () -> restart(member, known));
+            SimulatedDispatcher member = members.get(random.nextInt(dispatchers));
+            scheduleAt(startedAt + random.nextLong(WINDOWS * window), () -> restart(member, known));
         }
         while (!events.isEmpty() && events.peek().at <= end) {
             Event event = events.poll();
@@ -225,63 +225,63 @@
         long spread = 1 + random.nextLong(random.nextBoolean() ? 1_000 : window);
         int jobs = 1 + random.nextInt(dispatchers > 100 ? 4 : 12);
         int jobClass = random.nextInt(CLASSES + 1) - 1;
-        for (Member member : members) {
+        for (SimulatedDispatcher member : members) {
             long at = edge + random.nextLong(2 * spread) - spread;
             if (random.nextInt(5) > 0) {
-                at(Math.max(now, at), () -> member.burst(jobs, jobClass));
+                scheduleAt(Math.max(now, at), () -> member.burst(jobs, jobClass));
             }
         }
     }
 
-    private void restart(Member member, Heritage known) {
-        Heritage left = member.module.leave();
+    private void restart(SimulatedDispatcher member, LearnedState known) {
+        LearnedState left = member.policy.exportLearnedState();
         switch (restarts) {
             case HANDED_OVER -> member.start(left);
-            case KILLED -> member.start(new Heritage(known.learnt(), null));
+            case KILLED -> member.start(new LearnedState(known.statistics(), null));
             default -> member.start(null);
         }
     }
 
-    private void at(long at, Runnable what) {
+    private void scheduleAt(long at, Runnable what) {
         events.add(new Event(at, order++, what));
     }
 
     /** What a dispatcher knows that has served each class for a while at workers of this size. */
-    private Heritage taught() {
-        Rig rig = new Rig();
+    private LearnedState learnedState() {
+        PolicyFixture rig = new PolicyFixture();
         settings().classes.forEach(of -> rig.settings.classes.add(of));
         rig.settings.classes.subList(0, rig.settings.classes.size() - CLASSES).clear();
-        rig.settings.dispatchers = dispatchers;
-        rig.settings.kinds = 1;
-        rig.start(Rig.worker(1, WorkerState.READY, 0));
-        rig.report(1, slots);
+        rig.settings.dispatcherCount = dispatchers;
+        rig.settings.kindCount = 1;
+        rig.start(PolicyFixture.backend(1, BackendState.READY, 0));
+        rig.answerProbe(1, slots);
         for (int i = 0; i < 10 * CLASSES; i++) {
-            rig.serve(i % CLASSES, Math.round(runs[i % CLASSES]), Rig.free(slots));
+            rig.serve(i % CLASSES, Math.round(runs[i % CLASSES]), PolicyFixture.reportOfFreeSlots(slots));
         }
-        return rig.module.leave();
+        return rig.policy.exportLearnedState();
     }
 
     private Settings settings() {
         Settings s = new Settings();
-        s.dispatchers = dispatchers;
-        s.reports = Dispatch.ReportMode.IN_ANSWERS;
-        s.cancels = true;
-        s.parallelAttempts = true;
+        s.dispatcherCount = dispatchers;
+        s.reportMode = DispatchPolicy.ReportMode.IN_RESPONSES;
+        s.mayCancel = true;
+        s.mayHedge = true;
         s.maxAttempts = 4;
-        s.tellsStart = true;
-        s.coldShare = coldShare;
-        s.coldFor = coldFor;
-        s.fallMultiple = multiple;
-        s.fallWindow = window;
+        s.backendsReportStart = true;
+        s.coldCapacityShare = coldShare;
+        s.warmUpMicros = coldFor;
+        s.overloadMultiple = multiple;
+        s.overloadWindowMicros = window;
         for (int c = 0; c < CLASSES; c++) {
-            s.classes.add(new JobClass("class " + c, Effect.REPEATABLE, Scope.ALL, 100 * SECOND, 1.5, 3 * window, 0, 1, 0,
+            s.classes.add(new RequestClass("class " + c, Effect.REPEATABLE, DedupScope.ALL, 100 * SECOND, 1.5, 3 * window, 0, 1, 0,
                 null, null, false));
         }
         return s;
     }
 
-    private void count(long worker, double work) {
-        Cold at = workers.stream().filter(w -> w.id == worker).findFirst().orElseThrow();
+    private void countWork(long worker, double work) {
+        ColdBackend at = workers.stream().filter(w -> w.id == worker).findFirst().orElseThrow();
         if (now - startedAt >= coldFor) {
             return;
         }
@@ -292,6 +292,6 @@
         }
         double warmth = coldShare + (1 - coldShare) * (now - startedAt) / coldFor;
         double n = multiple * window * slots * warmth / mean;
-        worst = Math.max(worst, at.sum / mean / (n + 2 * Math.sqrt(n) + 2));
+        worstLimitRatio = Math.max(worstLimitRatio, at.sum / mean / (n + 2 * Math.sqrt(n) + 2));
     }
 }
--- a/src/test/java/badgermux/front/FailedAcceptsTest.java
+++ b/src/test/java/badgermux/front/AcceptFailureHandlerTest.java
@@ -11,11 +11,11 @@
 import java.util.concurrent.atomic.AtomicReference;
 import org.junit.jupiter.api.Test;
 
-class FailedAcceptsTest {
-    @Test void aFailureIsAPauseOfOursAndNotNettysOwn() {
+class AcceptFailureHandlerTest {
+    @Test void acceptFailurePausesAcceptingAndIsNotPassedOn() {
         AtomicInteger pauses = new AtomicInteger();
         AtomicReference<Throwable> behind = new AtomicReference<>();
-        EmbeddedChannel listener = new EmbeddedChannel(new FailedAccepts(pauses::incrementAndGet),
+        EmbeddedChannel listener = new EmbeddedChannel(new AcceptFailureHandler(pauses::incrementAndGet),
             new ChannelInboundHandlerAdapter() {
                 @Override public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
                     behind.set(cause);
--- a/src/test/java/badgermux/http/HeadTest.java
+++ b/src/test/java/badgermux/http/MessageHeadTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** A message's head, cut into its lines. */
-class HeadTest {
+class MessageHeadTest {
     private static final String SEED = "20261202";
 
     @Provide Arbitrary<String> heads() {
@@ -39,40 +39,40 @@
     }
 
     @Property(seed = SEED, tries = 5_000)
-    void itsLinesAreThoseBetweenLineEnds(@ForAll("heads") String text) throws BadMessage {
+    void linesAreSplitAtCrlf(@ForAll("heads") String text) throws InvalidMessageException {
         List<String> lines = expected(text);
         if (lines == null) {
-            assertEquals(400, assertThrows(BadMessage.class, () -> Head.parse(text)).status());
+            assertEquals(400, assertThrows(InvalidMessageException.class, () -> MessageHead.parse(text)).status());
             return;
         }
-        Head head = Head.parse(text);
+        MessageHead head = MessageHead.parse(text);
         StringBuilder copied = new StringBuilder();
-        head.copyLines(copied, Set.of());
-        assertEquals(text.split("\r\n", -1)[0], head.first());
+        head.appendHeaderLines(copied, Set.of());
+        assertEquals(text.split("\r\n", -1)[0], head.startLine());
         assertEquals(String.join("", lines.stream().map(line -> line + "\r\n").toList()), copied.toString());
     }
 
     @ParameterizedTest @CsvSource({"HTTP/1.1 200 OK, 200", "HTTP/1.0 503 Busy now, 503", "HTTP/1.1 100, 100", "'HTTP/1.1 599 ', 599"})
-    void aStatusLineTellsItsStatus(String line, int status) throws BadMessage {
-        assertEquals(status, Head.parse(line).status());
+    void statusLineIsParsed(String line, int status) throws InvalidMessageException {
+        assertEquals(status, MessageHead.parse(line).status());
     }
 
     @ParameterizedTest @ValueSource(strings = {"", "HTTP/1.1 20 OK", "HTTP/1.1 600 No", "HTTP/2 200 OK", "HTTP/1.1  200 OK", "HTTP/1.1 200OK",
         "http/1.1 200 OK", "HTTP/1.1 2000", "xHTTP/1.1 200 OK", "HTTP/1.1 099 No"})
-    void anyOtherIsMalformed(String line) throws BadMessage {
-        Head head = Head.parse(line);
-        assertEquals(502, assertThrows(BadMessage.class, head::status).status());
+    void malformedStatusLineIsRejected(String line) throws InvalidMessageException {
+        MessageHead head = MessageHead.parse(line);
+        assertEquals(502, assertThrows(InvalidMessageException.class, head::status).status());
     }
 
     @ParameterizedTest @ValueSource(strings = {"GET / HTTP/1.1", "POST /a%20b?c=\u00e9 HTTP/1.1", "M-SEARCH * HTTP/1.1"})
-    void aRequestLineHasThreeWords(String line) throws BadMessage {
-        assertEquals(line, String.join(" ", Head.parse(line).requestLine()));
+    void requestLineIsParsed(String line) throws InvalidMessageException {
+        assertEquals(line, String.join(" ", MessageHead.parse(line).requestLine()));
     }
 
     @ParameterizedTest @ValueSource(strings = {"", "GET", "GET /", "GET  HTTP/1.1", "GET / HTTP/1.0", "GET / HTTP/2", " / HTTP/1.1",
         "GET /\u0001 HTTP/1.1", "GET /\u007f HTTP/1.1", "GET /\ta HTTP/1.1", "G(T / HTTP/1.1", "GET / HTTP/1.1 x"})
-    void anyOtherRequestLineIsMalformed(String line) throws BadMessage {
-        Head head = Head.parse(line);
-        assertEquals(400, assertThrows(BadMessage.class, head::requestLine).status());
+    void malformedRequestLineIsRejected(String line) throws InvalidMessageException {
+        MessageHead head = MessageHead.parse(line);
+        assertEquals(400, assertThrows(InvalidMessageException.class, head::requestLine).status());
     }
 }
--- a/src/test/java/badgermux/http/MessageReaderTest.java
+++ b/src/test/java/badgermux/http/MessageReaderTest.java
@@ -15,15 +15,15 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class MessageReaderTest implements MessageReader.Sink {
+class MessageReaderTest implements MessageReader.Listener {
     private final List<String> seen = new ArrayList<>();
     private final StringBuilder bodies = new StringBuilder();
 
-    @Override public void head(Head head) {
-        seen.add(head.first());
+    @Override public void onHead(MessageHead head) {
+        seen.add(head.startLine());
     }
 
-    @Override public void body(byte[] bytes) {
+    @Override public void onBody(byte[] bytes) {
         bodies.append(new String(bytes, StandardCharsets.ISO_8859_1));
     }
 
@@ -31,7 +31,7 @@
         return Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1);
     }
 
-    private int read(boolean responses, int piece, String text) throws BadMessage {
+    private int read(boolean responses, int piece, String text) throws InvalidMessageException {
         MessageReader reader = new MessageReader(responses, 100, this);
         int ended = 0;
         for (int from = 0; from < text.length(); from += piece) {
@@ -44,7 +44,7 @@
     }
 
     @ParameterizedTest @ValueSource(ints = {1, 2, 3, 7, 1000})
-    void messagesMayComeInAnyPieces(int piece) throws BadMessage {
+    void messagesAreReadInPiecesOfAnySize(int piece) throws InvalidMessageException {
         String first = "POST /a HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc";
         String second = "POST /b HTTP/1.1\r\nTransfer-Encoding: Chunked\r\n\r\n"
             + "2\r\nde\r\n1;x=y\r\nf\r\n0\r\nT: t\r\n\r\n";
@@ -59,7 +59,7 @@
         "POST /b HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1;x=y\r\nc\r\n0\r\nT: t\r\n\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"})
-    void aMessageMayBeCutAtEveryByte(String text) throws BadMessage {
+    void messageMayBeSplitAtAnyByte(String text) throws InvalidMessageException {
         boolean response = text.startsWith("HTTP");
         assertEquals(1, read(response, text.length(), text));
         List<String> heads = List.copyOf(seen);
@@ -80,10 +80,10 @@
     @ParameterizedTest @ValueSource(strings = {"", "POST", "POST /", "POST / HTTP/2", "POST  HTTP/1.1",
         "POST /a b HTTP/1.1", "P(ST / HTTP/1.1", "POST /\u0001 HTTP/1.1", " / HTTP/1.1"})
     void badRequestLinesAreRejected(String line) {
-        assertThrows(BadMessage.class, () -> Head.parse(line).requestLine());
+        assertThrows(InvalidMessageException.class, () -> MessageHead.parse(line).requestLine());
     }
 
-    @Test void aResponseMayFollowAnInterimOneAndEndWithItsConnection() throws BadMessage {
+    @Test void interimResponseIsSkippedAndBodyEndsAtClose() throws InvalidMessageException {
         MessageReader reader = new MessageReader(true, 100, this);
         assertFalse(reader.read(bytes("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\n\r\nto the end")));
         assertEquals(List.of("HTTP/1.1 200 OK"), seen);
@@ -91,7 +91,7 @@
         assertEquals("to the end", bodies.toString());
     }
 
-    @Test void aBodyCutShortIsNotWhole() throws BadMessage {
+    @Test void truncatedBodyIsIncomplete() throws InvalidMessageException {
         MessageReader reader = new MessageReader(true, 100, this);
         reader.read(bytes("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc"));
         assertFalse(reader.endOfInput());
@@ -105,25 +105,25 @@
         "Transfer-Encoding: chunked|Transfer-Encoding: chunked, 400"})
     void badHeadsAreRejected(String lines, int status) {
         String head = "POST / HTTP/1.1\r\n" + lines.replace("|", "\r\n") + "\r\n\r\n";
-        assertEquals(status, assertThrows(BadMessage.class, () -> read(false, 1000, head)).status());
+        assertEquals(status, assertThrows(InvalidMessageException.class, () -> read(false, 1000, head)).status());
     }
 
     @ParameterizedTest @ValueSource(strings = {"z\r\n", "\r\n", "-1\r\n", "1\r\nabcd", "1\n", "123456789\r\n"})
     void badChunksAreRejected(String chunks) {
-        assertThrows(BadMessage.class,
+        assertThrows(InvalidMessageException.class,
             () -> read(false, 1000, "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n" + chunks));
     }
 
-    @Test void whatIsTooLongIsRejected() {
+    @Test void oversizedBodyAndHeadAreRejected() {
         String chunk = "32\r\n" + "x".repeat(50) + "\r\n";
         String chunked = "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk + chunk + chunk;
-        assertEquals(413, assertThrows(BadMessage.class, () -> read(false, 1000, chunked)).status());
-        String head = "POST / HTTP/1.1\r\nA: " + "x".repeat(MessageReader.MAX_HEAD);
-        assertEquals(431, assertThrows(BadMessage.class, () -> read(false, 1000, head)).status());
+        assertEquals(413, assertThrows(InvalidMessageException.class, () -> read(false, 1000, chunked)).status());
+        String head = "POST / HTTP/1.1\r\nA: " + "x".repeat(MessageReader.MAX_HEAD_BYTES);
+        assertEquals(431, assertThrows(InvalidMessageException.class, () -> read(false, 1000, head)).status());
     }
 
-    @Test void aResultIsKeptAsItCameAndDecodedOnce() throws BadMessage {
-        Lines lines = new Lines();
+    @Test void rawValuesAreKeptAndStringsDecoded() throws InvalidMessageException {
+        LineSplitter lines = new LineSplitter();
         String text = "{\"id\":\"a\",\"n\":[1,{\"x\":\"}\"}], \"result\":\"q\\\"\\u00e9\\ud83d\\ude00\\n\"}";
         assertEquals(0, lines.add(text.substring(0, 9).getBytes(StandardCharsets.UTF_8)).size());
         List<byte[]> whole = lines.add((text.substring(9) + "\n\n{").getBytes(StandardCharsets.UTF_8));
@@ -131,12 +131,12 @@
         JsonLine line = JsonLine.parse(whole.get(0));
         assertEquals("q\"\u00e9\ud83d\ude00\n", line.text("result"));
         assertEquals("[1,{\"x\":\"}\"}]", new String(line.raw("n"), StandardCharsets.UTF_8));
-        assertEquals(1, lines.rest().size());
+        assertEquals(1, lines.remainder().size());
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"", "[]", "{\"a\"}", "{\"a\":}", "{\"a\":1", "{\"a\":\"x}", "{\"a\":1}x", "{a:1}"})
-    void brokenLinesAreRejected(String text) {
-        assertThrows(BadMessage.class, () -> JsonLine.parse(text.getBytes(StandardCharsets.UTF_8)));
+    void malformedJsonLinesAreRejected(String text) {
+        assertThrows(InvalidMessageException.class, () -> JsonLine.parse(text.getBytes(StandardCharsets.UTF_8)));
     }
 }
--- a/src/test/java/badgermux/it/Parts.java
+++ b/src/test/java/badgermux/it/Parts.java
@@ -1,13 +1,13 @@
 package badgermux.it;
 
-import badgermux.backend.Backends;
-import badgermux.core.Asker;
+import badgermux.backend.HttpBackendClient;
+import badgermux.core.ResponseListener;
 import badgermux.core.Clock;
 import badgermux.core.Deadlines;
 import badgermux.core.Engine;
-import badgermux.decide.Dispatch;
-import badgermux.front.Front;
-import badgermux.http.Relay;
+import badgermux.decide.DispatchPolicy;
+import badgermux.front.Frontend;
+import badgermux.http.ForwardedRequest;
 import badgermux.metrics.Metrics;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -38,15 +38,15 @@
     final Clock clock = new Clock();
     final Metrics metrics = new Metrics(List.of("preview"));
     final Deadlines deadlines = new Deadlines(this::now, this::alarm, metrics);
-    final Engine<Relay> engine = new Engine<>(this::now, deadlines, metrics, 3);
-    final Backends backends;
-    final Front front;
+    final Engine<ForwardedRequest> engine = new Engine<>(this::now, deadlines, metrics, 3);
+    final HttpBackendClient backends;
+    final Frontend front;
     /** What the module was told, in order. */
     final List<String> told = new ArrayList<>();
     private final BlockingQueue<Long> jobs = new LinkedBlockingQueue<>();
     private final int port;
     private long stoppedAt;
-    private Dispatch.Job last;
+    private DispatchPolicy.Request last;
     /** Where the module sends each job at once; 0 where it holds them. */
     long sendsTo;
     /** Where it sends a job again that may go again; null where it does not. Called as soon as it is told. */
@@ -59,12 +59,12 @@
     Runnable onJob = () -> { };
 
     Parts() throws Exception {
-        Dispatch.Settings settings = new Dispatch.Settings();
-        settings.classes.add(new Dispatch.JobClass("preview", Dispatch.Effect.REPEATABLE, Dispatch.Scope.ALL, 4_000_000, 1,
+        DispatchPolicy.Settings settings = new DispatchPolicy.Settings();
+        settings.classes.add(new DispatchPolicy.RequestClass("preview", DispatchPolicy.Effect.REPEATABLE, DispatchPolicy.DedupScope.ALL, 4_000_000, 1,
             5_000_000, 0, 1, 0, -1, false));
-        backends = new Backends(loop, deadlines, this::now, metrics, engine, 3_000_000, 15_000_000, 100, false);
-        front = new Front(this::now, deadlines, metrics, engine, settings, () -> true, MOST_CLIENTS, 8, 1 << 24, null);
-        engine.join(new Module(), backends, () -> told.add("watch"));
+        backends = new HttpBackendClient(loop, deadlines, this::now, metrics, engine, 3_000_000, 15_000_000, 100, false);
+        front = new Frontend(this::now, deadlines, metrics, engine, settings, () -> true, MOST_CLIENTS, 8, 1 << 24, null);
+        engine.connect(new Module(), backends, () -> told.add("watch"));
         port = ((InetSocketAddress) front.listen(loop, new InetSocketAddress("127.0.0.1", 0)).sync().channel().localAddress())
             .getPort();
     }
@@ -75,12 +75,12 @@
 
     /** The time of all parts, in microseconds. */
     long now() {
-        return stoppedAt > 0 ? stoppedAt : clock.now();
+        return stoppedAt > 0 ? stoppedAt : clock.nowMicros();
     }
 
     /** Stops the clock, so that nothing falls due, or has it go on; called on the event loop. */
     void stopClock(boolean stops) {
-        stoppedAt = stops ? clock.now() : 0;
+        stoppedAt = stops ? clock.nowMicros() : 0;
     }
 
     Client client() throws IOException {
@@ -98,7 +98,7 @@
 
     /** What the client of the last job had left when the module was told of it, in microseconds; called on the event loop. */
     long left() {
-        return last.left();
+        return last.remainingMicros();
     }
 
     /** Whether one is there already that nobody has taken. */
@@ -108,17 +108,17 @@
 
     /** Takes a job in that no client brought; called on the event loop. */
     long take() {
-        Asker nobody = new Asker() {
-            @Override public void served(byte[] result) { }
+        ResponseListener nobody = new ResponseListener() {
+            @Override public void onServed(byte[] result) { }
 
-            @Override public void synthetic(long comeBack) { }
+            @Override public void onRefused(long comeBack) { }
 
-            @Override public void failed(boolean late) { }
+            @Override public void onFailed(boolean late) { }
         };
         String head = "POST /preview HTTP/1.1";
         String id = Client.id();
-        return engine.take(nobody, new Relay(id, head, "X-Request-ID: " + id + "\r\n", new byte[0], null), 0, 0, 1,
-            clock.now() + 5_000_000, true);
+        return engine.submit(nobody, new ForwardedRequest(id, head, "X-Request-ID: " + id + "\r\n", new byte[0], null), 0, 0, 1,
+            clock.nowMicros() + 5_000_000, true);
     }
 
     /** How many connections to runners there are. */
@@ -188,14 +188,14 @@
     }
 
     /** Does what the test says. */
-    private final class Module implements Dispatch {
-        @Override public Heritage leave() {
-            return new Heritage(new double[0], List.of());
+    private final class Module implements DispatchPolicy {
+        @Override public LearnedState exportLearnedState() {
+            return new LearnedState(new double[0], List.of());
         }
 
-        @Override public void inherit(Heritage left) { }
+        @Override public void importLearnedState(LearnedState left) { }
 
-        @Override public void ending(long time, long job) {
+        @Override public void answerBeforeExit(long time, long job) {
             told.add("ending");
             endings.add(now());
             if (refusesAtTheEnd) {
@@ -203,15 +203,15 @@
             }
         }
 
-        @Override public boolean avoids(long worker) {
+        @Override public boolean isAvoided(long worker) {
             return false;
         }
 
-        @Override public void workers(long time, ListUpdate update, List<Worker> workers) {
+        @Override public void backendsListed(long time, ListUpdate update, List<Backend> workers) {
             told.add(update + " " + workers.size());
         }
 
-        @Override public void request(long time, Job job) {
+        @Override public void requestReceived(long time, Request job) {
             last = job;
             if (sendsTo != 0) {
                 engine.send(job.id(), sendsTo);
@@ -220,14 +220,14 @@
             onJob.run();
         }
 
-        @Override public void started(long time, long id, int attempt) { }
+        @Override public void attemptStarted(long time, long id, int attempt) { }
 
-        @Override public void progress(long time, long id, int attempt) { }
+        @Override public void attemptProgressed(long time, long id, int attempt) { }
 
-        @Override public void streaming(long time, long id, int attempt) { }
+        @Override public void responseStreaming(long time, long id, int attempt) { }
 
-        @Override public void outcome(long time, long id, int attempt, long worker, Outcome outcome, boolean settled,
-                Report report) {
+        @Override public void attemptEnded(long time, long id, int attempt, long worker, Outcome outcome, boolean settled,
+                LoadReport report) {
             told.add(outcome + (settled ? " settled" : ""));
             if (!settled && outcome == Outcome.MOOT) {
                 engine.send(last.id(), sendsTo);
@@ -236,12 +236,12 @@
             }
         }
 
-        @Override public void probed(long time, long worker, boolean answered, Report report) { }
+        @Override public void probeEnded(long time, long worker, boolean answered, LoadReport report) { }
 
-        @Override public void clientGone(long time, long id) {
+        @Override public void clientDisconnected(long time, long id) {
             told.add("gone");
         }
 
-        @Override public void timer(long time, int token) { }
+        @Override public void timerFired(long time, int token) { }
     }
 }
--- a/src/test/java/badgermux/it/RareMomentsIT.java
+++ b/src/test/java/badgermux/it/RareMomentsIT.java
@@ -5,9 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import badgermux.decide.Dispatch.ListUpdate;
-import badgermux.discovery.Discovery;
-import badgermux.discovery.ListDecoder;
+import badgermux.decide.DispatchPolicy.ListUpdate;
+import badgermux.discovery.DiscoveryClient;
+import badgermux.discovery.BackendListCodec;
 import badgermux.metrics.Metrics.Count;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -31,7 +31,7 @@
         parts = new Parts();
         backend = new Peer();
         client = parts.client();
-        parts.held(() -> parts.backends.locate(1, at(backend)));
+        parts.held(() -> parts.backends.setAddress(1, at(backend)));
     }
 
     @AfterEach void stop() throws IOException {
@@ -89,7 +89,7 @@
             Await.until("their leave", () -> parts.count(Count.CLIENTS_GONE) == 3);
             parts.held(() -> {
                 assertEquals(List.of("gone", "gone", "gone"), parts.told);
-                assertEquals(0, parts.engine.open());
+                assertEquals(0, parts.engine.openRequestCount());
             });
             Await.until("their ends", () -> parts.connections() == 1);
             assertEquals(0, parts.count(Count.FETCHES_SENT));
@@ -164,7 +164,7 @@
     /** The event loop stands still: a client's time counts from its last byte, not from when that was read. */
     @Test void aDeadlineCountsFromWhenTheRequestCame() throws Exception {
         parts.held(() -> {
-            parts.deadlines.after(0, () -> { });
+            parts.deadlines.scheduleAfter(0, () -> { });
             client.send(Client.request("/preview", "2000m", "", ""));
             TimeUnit.MILLISECONDS.sleep(400);   // the standstill itself
         });
@@ -238,7 +238,7 @@
         Peer other = new Peer();
         List<Client> clients = new ArrayList<>();
         List<Peer.Call> calls = new ArrayList<>();
-        parts.held(() -> parts.backends.locate(2, at(other)));
+        parts.held(() -> parts.backends.setAddress(2, at(other)));
         keepConnections(2, other, 8);
         long before = parts.count(Count.FETCHES_WRITTEN);
         parts.sendsTo = 1;
@@ -295,7 +295,7 @@
     /** A connection to a runner comes up late; its client has left by then, and nothing may be cancelled there. */
     @Test void whatNobodyWaitsForIsNotWrittenOnceItsConnectionIsUp() throws Exception {
         parts.sendsTo = 1;
-        parts.held(() -> parts.engine.askerGone(parts.take()));
+        parts.held(() -> parts.engine.clientDisconnected(parts.take()));
         Await.until("the connection's end", () -> parts.open() == 0);
         assertEquals(List.of("MOOT settled"), parts.told.subList(0, 1));
         assertEquals(0, parts.metrics.get(Count.FETCHES_WRITTEN));
@@ -307,24 +307,24 @@
         Peer other = new Peer();
         parts.sendsTo = 1;
         parts.held(() -> {
-            parts.backends.locate(2, at(other));
+            parts.backends.setAddress(2, at(other));
             parts.take();
             parts.sendsTo = 2;
-            parts.backends.takeBack(1);
+            parts.backends.withdrawUnsentAttempts(1);
         });
         assertEquals("POST /preview HTTP/1.1", other.take().head.lines().findFirst().orElseThrow());
         parts.sendsTo = 2;
         parts.held(() -> {
             parts.take();
             parts.sendsTo = 3;
-            parts.backends.locate(3, at(other));
-            parts.backends.forget(2);
+            parts.backends.setAddress(3, at(other));
+            parts.backends.removeBackend(2);
         });
         other.take();
         parts.held(() -> {
             parts.sendsTo = 1;
             parts.take();
-            parts.backends.locate(1, at(other));
+            parts.backends.setAddress(1, at(other));
         });
         other.take();
         assertNull(backend.peek(), "nothing was written to who had drained, gone or moved");
@@ -340,7 +340,7 @@
             open.add(parts.openNow());
             return 2L;
         };
-        parts.held(() -> parts.backends.locate(2, at(other)));
+        parts.held(() -> parts.backends.setAddress(2, at(other)));
         parts.held(parts::take);
         backend.take().send("HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 9\r\n\r\nnot");
         other.take().done("r");
@@ -367,8 +367,8 @@
     @Test void aListThatCantBeUsedIsAskedForAgain() throws Exception {
         Peer agent = new Peer();
         AtomicInteger lists = new AtomicInteger();
-        Discovery discovery = new Discovery(parts.loop, parts.deadlines, parts.clock, parts.metrics, parts.engine, parts.backends,
-            at(agent), ListDecoder.decode("{\"revision\":4}"), List.of("east"), List.of("k"), (now, update, list, before) -> {
+        DiscoveryClient discovery = new DiscoveryClient(parts.loop, parts.deadlines, parts.clock, parts.metrics, parts.engine, parts.backends,
+            at(agent), BackendListCodec.decode("{\"revision\":4}"), List.of("east"), List.of("k"), (now, update, list, before) -> {
                 if (update != ListUpdate.CACHED && lists.getAndIncrement() == 0) {
                     throw new IllegalStateException("seen in a test");
                 }
@@ -392,8 +392,8 @@
     @Test void halfAnAnswerOfADiscoveryThatWasLeftIsDropped() throws Exception {
         Peer old = new Peer();
         Peer next = new Peer();
-        Discovery discovery = new Discovery(parts.loop, parts.deadlines, parts.clock, parts.metrics, parts.engine, parts.backends,
-            at(old), ListDecoder.decode("{\"revision\":4}"), List.of("east"), List.of("k"), null, null, false);
+        DiscoveryClient discovery = new DiscoveryClient(parts.loop, parts.deadlines, parts.clock, parts.metrics, parts.engine, parts.backends,
+            at(old), BackendListCodec.decode("{\"revision\":4}"), List.of("east"), List.of("k"), null, null, false);
         parts.held(() -> {
             discovery.start();
             discovery.watch();
@@ -403,7 +403,7 @@
         half.send("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list.substring(0, 20));
         parts.held(() -> {
             half.send(list.substring(20));
-            discovery.moveTo(at(next));
+            discovery.switchTo(at(next));
         });
         assertTrue(half.isEnded());
         Peer.Call call = next.take();
@@ -411,8 +411,8 @@
         call.reset();
         Await.until("the failure", () -> parts.toldOf("FAILED 0"));
         parts.held(() -> {
-            discovery.moveTo(at(next));
-            discovery.moveTo(at(next));
+            discovery.switchTo(at(next));
+            discovery.switchTo(at(next));
         });
         next.take().reply("200 OK", list.replace("5", "6"));
         assertTrue(next.take().head.startsWith("GET /v1/servers?since=6&"));
--- a/src/test/java/badgermux/sim/AdapterTest.java
+++ b/src/test/java/badgermux/sim/SimulatorAdapterTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import badgermux.config.SettingsPairs;
-import badgermux.decide.Dispatch;
+import badgermux.config.SettingsParser;
+import badgermux.decide.DispatchPolicy;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.PrintStream;
@@ -22,7 +22,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The adapter through its streams: frames in, frames out. */
-class AdapterTest {
+class SimulatorAdapterTest {
     private static final String SETTINGS = String.join("\n", "Balancers=1", "Zone=0", "GranularityMs=1.0",
         "Kinds=only", "Discovery=on_request", "Report.How=pull", "Report.Columns=utilization,x0", "Ceilings.Probes=true",
         "Ceilings.Cancel=true", "Ceilings.ParallelTries=true", "Ceilings.MaxAttempts=3", "Extra.TellsStart=true",
@@ -37,13 +37,13 @@
         return ByteBuffer.allocate(4096).order(ByteOrder.LITTLE_ENDIAN).put((byte) code).putInt(instance);
     }
 
-    private static ByteBuffer provision(int instance, String settings) {
+    private static ByteBuffer createInstance(int instance, String settings) {
         byte[] text = settings.getBytes(StandardCharsets.UTF_8);
         return record(1, instance).putLong(5).putInt(text.length).put(text);
     }
 
     /** A list of ready workers 10.0.0.1, 10.0.0.2 and so on, port 80. */
-    private static ByteBuffer endpoints(int instance, int mode, int workers) {
+    private static ByteBuffer backendList(int instance, int mode, int workers) {
         ByteBuffer r = record(2, instance).put((byte) mode).putInt(1).putInt(workers);
         for (int i = 1; i <= workers; i++) {
             r.put(new byte[] {10, 0, 0, (byte) i}).putShort((short) 80).put((byte) 0).putShort((short) 0)
@@ -52,18 +52,18 @@
         return r;
     }
 
-    private static ByteBuffer query(int instance, long id) {
+    private static ByteBuffer request(int instance, long id) {
         return record(3, instance).putLong(id).putShort((short) 0).putDouble(0).putShort((short) 0).putFloat(0)
             .putLong(0).putFloat(1).putShort((short) 0).putDouble(2000);
     }
 
-    private static ByteBuffer done(int instance, long id, int verdict, int settled) {
+    private static ByteBuffer attemptEnd(int instance, long id, int verdict, int settled) {
         return record(5, instance).putLong(id).putDouble(3).put((byte) verdict).putShort((short) 0)
             .put(new byte[] {10, 0, 0, 1}).putShort((short) 80).putInt(0).put((byte) settled)
             .put((byte) 2).putFloat(0.5f).putFloat(3);
     }
 
-    private void batch(double clock, ByteBuffer... records) {
+    private void writeBatch(double clock, ByteBuffer... records) {
         int length = 16 + Arrays.stream(records).mapToInt(ByteBuffer::position).sum();
         ByteBuffer frame = ByteBuffer.allocate(length).order(ByteOrder.LITTLE_ENDIAN);
         frame.putDouble(clock).putInt(length).putInt(records.length);
@@ -74,7 +74,7 @@
     }
 
     /** Runs the adapter over the input so far and returns its replies' bodies. */
-    private List<ByteBuffer> replies(int status) {
+    private List<ByteBuffer> runAdapter(int status) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         int got = Main.run(new ByteArrayInputStream(input.toByteArray()), out, new PrintStream(errors, true));
         assertEquals(status, got, errors::toString);
@@ -89,7 +89,7 @@
     }
 
     /** The codes of a reply's actions; those of variable length are not expected here. */
-    private static List<Integer> codes(ByteBuffer reply) {
+    private static List<Integer> actionCodes(ByteBuffer reply) {
         int[] lengths = {0, 27, 21, 13, 15, 17, 11, 11, 0, 0, 0, 6, 5};
         List<Integer> codes = new ArrayList<>();
         for (int at = 0; at < reply.limit(); at += lengths[reply.get(at)]) {
@@ -98,25 +98,25 @@
         return codes;
     }
 
-    @Test void emptyBatchGetsAnEmptyReplyAndTheEndOfInputEndsItWell() {
-        batch(243);
-        assertEquals(0, replies(0).get(0).limit());
+    @Test void emptyBatchGetsEmptyReplyAndEndOfInputExitsCleanly() {
+        writeBatch(243);
+        assertEquals(0, runAdapter(0).get(0).limit());
         assertEquals("", errors.toString());
     }
 
-    @Test void aJobGoesFromQueryToItsWorkerAndItsEnd() {
-        batch(1_000, provision(3, SETTINGS), endpoints(3, 2, 2));
-        batch(1_001, query(3, 77));
-        batch(1_003, echo(3, 1), echo(3, 2));
-        batch(1_004, done(3, 77, 1, 1));
-        batch(1_005, record(11, 3).putLong(77).put((byte) 1).putFloat(0).putShort((short) 0)
+    @Test void requestIsProbedSentAndFinished() {
+        writeBatch(1_000, createInstance(3, SETTINGS), backendList(3, 2, 2));
+        writeBatch(1_001, request(3, 77));
+        writeBatch(1_003, probeAnswer(3, 1), probeAnswer(3, 2));
+        writeBatch(1_004, attemptEnd(3, 77, 1, 1));
+        writeBatch(1_005, record(11, 3).putLong(77).put((byte) 1).putFloat(0).putShort((short) 0)
             .put(new byte[] {10, 0, 0, 1}).putShort((short) 80), record(6, 3).putLong(77),
             record(9, 3).putInt(1).putShort((short) 2).putShort((short) 0), record(10, 3));
-        List<ByteBuffer> replies = replies(0);
-        assertEquals(List.of(5, 11), codes(replies.get(0)), "a timer and a watch");
-        assertEquals(List.of(6, 6, 5), codes(replies.get(1)), "two probes and how long they are waited for");
+        List<ByteBuffer> replies = runAdapter(0);
+        assertEquals(List.of(5, 11), actionCodes(replies.get(0)), "a timer and a watch");
+        assertEquals(List.of(6, 6, 5), actionCodes(replies.get(1)), "two probes and how long they are waited for");
         ByteBuffer reply = replies.get(2);
-        assertEquals(List.of(1, 5), codes(reply), "a send and a timer to look after it");
+        assertEquals(List.of(1, 5), actionCodes(reply), "a send and a timer to look after it");
         assertEquals(1, reply.get());
         assertEquals(3, reply.getInt());
         assertEquals(77, reply.getLong());
@@ -124,123 +124,123 @@
         reply.get(runner);
         assertArrayEquals(new byte[] {10, 0, 0}, Arrays.copyOf(runner, 3));
         assertEquals(80, runner[4] | runner[5] << 8);
-        assertEquals(List.of(), codes(replies.get(3)));
-        assertEquals(List.of(), codes(replies.get(4)));
+        assertEquals(List.of(), actionCodes(replies.get(3)));
+        assertEquals(List.of(), actionCodes(replies.get(4)));
     }
 
-    private static ByteBuffer echo(int instance, int runner) {
+    private static ByteBuffer probeAnswer(int instance, int runner) {
         return record(8, instance).put(new byte[] {10, 0, 0, (byte) runner}).putShort((short) 80).put((byte) 1)
             .putDouble(2).put((byte) 0);
     }
 
     /** Where settings bind a class to zones and kinds, drains close connections and 'full' proves nothing. */
-    @Test void furtherRulesReachTheModule() {
-        Dispatch.Settings s = SettingsPairs.parse(SETTINGS.replace("Kinds=only", "Kinds=only,other,third") + String.join("\n",
+    @Test void optionalSettingsReachPolicy() {
+        DispatchPolicy.Settings s = SettingsParser.parse(SETTINGS.replace("Kinds=only", "Kinds=only,other,third") + String.join("\n",
             "", "RequestClasses.0.BoundTo=1,2", "RequestClasses.0.AllowedIn=2", "Safety.FullMayHaveRun=true",
             "Ceilings.RetryAfter=true", "Ceilings.MaxRetryAfterMs=1500.0")).settings();
-        assertEquals(Set.of(1, 2), s.classes.get(0).kinds());
-        assertEquals(Set.of(2), s.classes.get(0).zones());
+        assertEquals(Set.of(1, 2), s.classes.get(0).allowedKinds());
+        assertEquals(Set.of(2), s.classes.get(0).allowedZones());
         assertTrue(s.rejectedMayHaveRun);
-        assertEquals(1_500_000, s.longestComeBack);
-        Dispatch.Settings plain = SettingsPairs.parse(SETTINGS + "\nCeilings.MaxRetryAfterMs=1500.0\nExtra.ClassKind=0").settings();
-        assertEquals(Set.of(0), plain.classes.get(0).kinds());
-        assertEquals(null, plain.classes.get(0).zones());
+        assertEquals(1_500_000, s.maxRetryAfterMicros);
+        DispatchPolicy.Settings plain = SettingsParser.parse(SETTINGS + "\nCeilings.MaxRetryAfterMs=1500.0\nExtra.ClassKind=0").settings();
+        assertEquals(Set.of(0), plain.classes.get(0).allowedKinds());
+        assertEquals(null, plain.classes.get(0).allowedZones());
         assertFalse(plain.rejectedMayHaveRun);
-        assertEquals(0, plain.longestComeBack, "clients cannot be told");
+        assertEquals(0, plain.maxRetryAfterMicros, "clients cannot be told");
     }
 
-    @Test void messagesOfPeersArePassedOver() {
-        batch(1_000, provision(3, SETTINGS), endpoints(3, 2, 1));
-        batch(1_001, record(9, 3).putInt(1).putShort((short) 3).put(new byte[3]), query(3, 77));
-        assertEquals(List.of(6, 5), codes(replies(0).get(1)), "what follows the message is read");
+    @Test void peerMessagesAreSkipped() {
+        writeBatch(1_000, createInstance(3, SETTINGS), backendList(3, 2, 1));
+        writeBatch(1_001, record(9, 3).putInt(1).putShort((short) 3).put(new byte[3]), request(3, 77));
+        assertEquals(List.of(6, 5), actionCodes(runAdapter(0).get(1)), "what follows the message is read");
     }
 
-    @Test void aRestartedInstanceKnowsNothingOfBefore() {
-        batch(1_000, provision(3, SETTINGS), endpoints(3, 2, 2));
-        batch(1_001, query(3, 77), record(10, 3), provision(3, SETTINGS), endpoints(3, 2, 0), done(3, 77, 6, 0));
-        List<Integer> codes = codes(replies(0).get(1));
+    @Test void restartedInstanceHasNoPriorState() {
+        writeBatch(1_000, createInstance(3, SETTINGS), backendList(3, 2, 2));
+        writeBatch(1_001, request(3, 77), record(10, 3), createInstance(3, SETTINGS), backendList(3, 2, 0), attemptEnd(3, 77, 6, 0));
+        List<Integer> codes = actionCodes(runAdapter(0).get(1));
         assertEquals(List.of(5, 11), codes.subList(codes.size() - 2, codes.size()), "the lost job is not sent again");
     }
 
-    @Test void addressesAndPortsSurviveAsTheyCame() throws Exception {
+    @Test void addressesAndPortsRoundTrip() throws Exception {
         ByteBuffer r = record(2, 0);
         r.position(0).put(new byte[] {(byte) 200, 18, 74, 7}).putShort((short) 0xfffe);
         int length = 16 + r.position();
         ByteBuffer frame = ByteBuffer.allocate(length).order(ByteOrder.LITTLE_ENDIAN).putDouble(1).putInt(length)
             .putInt(0).put(r.array(), 0, r.position());
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        Frames frames = new Frames(new ByteArrayInputStream(frame.array()), out);
-        frames.next();
-        long runner = frames.runner();
+        FrameCodec frames = new FrameCodec(new ByteArrayInputStream(frame.array()), out);
+        frames.readBatch();
+        long runner = frames.readBackend();
         assertEquals(0xc8124a07fffeL, runner);
-        frames.action(7, 0).putRunner(runner);
-        frames.flush();
+        frames.beginAction(7, 0).putBackend(runner);
+        frames.writeReply();
         assertArrayEquals(Arrays.copyOf(r.array(), 6), Arrays.copyOfRange(out.toByteArray(), 9, 15));
     }
 
     @ParameterizedTest @ValueSource(strings = {"RequestClasses.0.TargetMs=soon", "Balancers=two", "Zone=-1",
         "Discovery=maybe", "RequestClasses.0.Effect=", "Ceilings.Probes=1", "RequestClasses.0.BoundTo=4",
         "RequestClasses.0.AllowedIn=a", "Safety.FullMayHaveRun=often", "no sign at all", "Safety.ColdMs=NaN"})
-    void aMalformedSettingEndsItWithAPlainMessage(String setting) {
-        batch(1_000, provision(3, SETTINGS + "\n" + setting));
-        assertEquals(0, replies(2).size());
+    void malformedSettingExitsWithOneLineMessage(String setting) {
+        writeBatch(1_000, createInstance(3, SETTINGS + "\n" + setting));
+        assertEquals(0, runAdapter(2).size());
         String told = errors.toString();
         assertTrue(told.startsWith("badgermux: setting ") && told.strip().lines().count() == 1, told);
     }
 
     @ParameterizedTest @ValueSource(strings = {"RequestClasses.count", "RequestClasses.0.Effect",
         "RequestClasses.0.GiveUpMs", "RequestClasses.0.TargetMs"})
-    void aMissingSettingThatIsNeededEndsItToo(String setting) {
-        batch(1_000, provision(3, SETTINGS.replace(setting + "=", "Gone=")));
-        replies(2);
+    void missingRequiredSettingExitsWithMessage(String setting) {
+        writeBatch(1_000, createInstance(3, SETTINGS.replace(setting + "=", "Gone=")));
+        runAdapter(2);
         assertEquals("badgermux: setting " + setting + " is missing", errors.toString().strip());
     }
 
     @ParameterizedTest @ValueSource(ints = {1, 9, 15, 17, 40, 300})
-    void truncatedInputEndsItWithAPlainMessage(int bytes) {
-        batch(1_000, provision(3, SETTINGS), endpoints(3, 2, 2));
+    void truncatedInputExitsWithMessage(int bytes) {
+        writeBatch(1_000, createInstance(3, SETTINGS), backendList(3, 2, 2));
         byte[] whole = input.toByteArray();
         input.reset();
         input.write(whole, 0, bytes);
-        assertEquals(0, replies(2).size());
+        assertEquals(0, runAdapter(2).size());
         assertTrue(errors.toString().startsWith("badgermux: input ends inside a batch"), errors::toString);
     }
 
-    @Test void recordsThatDoNotFitTheirFrameEndIt() {
-        batch(1_000, record(99, 0));
-        batch(1_001);
-        replies(2);
+    @Test void malformedRecordsExitWithMessage() {
+        writeBatch(1_000, record(99, 0));
+        writeBatch(1_001);
+        runAdapter(2);
         assertEquals("badgermux: unknown record code 99", errors.toString().strip());
         input.reset();
-        batch(1_000, record(1, 0).putLong(5).putInt(4_000));
-        replies(2);
+        writeBatch(1_000, record(1, 0).putLong(5).putInt(4_000));
+        runAdapter(2);
         input.reset();
-        batch(1_000, provision(3, SETTINGS), endpoints(3, 7, 0));
-        replies(2);
+        writeBatch(1_000, createInstance(3, SETTINGS), backendList(3, 7, 0));
+        runAdapter(2);
         input.reset();
-        batch(1_000, query(4, 1));
-        replies(2);
+        writeBatch(1_000, request(4, 1));
+        runAdapter(2);
         assertTrue(errors.toString().contains("instance 4, which is not running"), errors::toString);
         input.reset();
         input.writeBytes(ByteBuffer.allocate(17).order(ByteOrder.LITTLE_ENDIAN).putDouble(1).putInt(17).array());
-        replies(2);
+        runAdapter(2);
         assertTrue(errors.toString().contains("1 bytes follow the last record"), errors::toString);
     }
 
-    @Test void equalEventsGetEqualRepliesWhicheverProcessRunsThem() {
-        batch(1_000, provision(5, SETTINGS), endpoints(5, 2, 12), provision(9, SETTINGS), endpoints(9, 2, 12));
+    @Test void equalEventsGetEqualRepliesInSharedAndSeparateProcesses() {
+        writeBatch(1_000, createInstance(5, SETTINGS), backendList(5, 2, 12), createInstance(9, SETTINGS), backendList(9, 2, 12));
         for (int job = 0; job < 50; job++) {
-            batch(2_000 + job, query(5, job), query(9, job));
+            writeBatch(2_000 + job, request(5, job), request(9, job));
         }
-        List<ByteBuffer> together = replies(0);
+        List<ByteBuffer> together = runAdapter(0);
         List<List<byte[]>> alone = new ArrayList<>();
         for (int instance : new int[] {5, 9}) {
             input.reset();
-            batch(1_000, provision(instance, SETTINGS), endpoints(instance, 2, 12));
+            writeBatch(1_000, createInstance(instance, SETTINGS), backendList(instance, 2, 12));
             for (int job = 0; job < 50; job++) {
-                batch(2_000 + job, query(instance, job));
+                writeBatch(2_000 + job, request(instance, job));
             }
-            alone.add(replies(0).stream().map(AdapterTest::bytes).toList());
+            alone.add(runAdapter(0).stream().map(SimulatorAdapterTest::bytes).toList());
         }
         for (int n = 0; n < together.size(); n++) {
             ByteArrayOutputStream both = new ByteArrayOutputStream();
