--- a/src/main/java/badgermux/zone/ZoneHealth.java
+++ b/src/main/java/badgermux/zone/ZoneHealth.java
@@ -1,13 +1,13 @@
 package badgermux.zone;
 
-/** What is held of a zone. */
+/** The health of a zone as one dispatcher sees it. */
 public enum ZoneHealth {
-    /** Its nodes answer. */
+    /** Its backends respond. */
     WHOLE,
-    /** Some do not; what they can't take goes on to the next tier. */
+    /** Some backends do not respond; the load that exceeds the others' capacity spills to the next tier. */
     DEGRADED,
-    /** Too few do: no work but for trials. */
+    /** Too few backends respond: the zone gets trial requests only. */
     DARK,
-    /** It answers again and is let back stage by stage. */
+    /** Backends respond again, and the load is restored in stages. */
     RETURNING
 }
--- a/src/main/java/badgermux/zone/ZonePolicy.java
+++ b/src/main/java/badgermux/zone/ZonePolicy.java
@@ -1,210 +1,288 @@
 package badgermux.zone;
 
 import badgermux.decide.DispatchPolicy;
-import badgermux.decide.DispatchPolicy.Request;
-import badgermux.decide.DispatchPolicy.ListUpdate;
-import badgermux.decide.DispatchPolicy.Outcome;
 import badgermux.decide.DispatchPolicy.Backend;
 import badgermux.decide.DispatchPolicy.BackendState;
+import badgermux.decide.DispatchPolicy.ListUpdate;
+import badgermux.decide.DispatchPolicy.Outcome;
+import badgermux.decide.DispatchPolicy.Request;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
+import java.util.HashSet;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
+import java.util.Objects;
+import java.util.Set;
 
 /**
- * One dispatcher's judgement of zones. Evidence is what its own attempts and probes bring, correlated over a zone; the
- * list, which is seconds late, adds to it and is never believed alone. Spill is held under a share of the receiving
- * zone's slots, split over the dispatchers outside it, in slots at work and in slot-seconds a second, with trunk
- * reservation for the classes of more worth (Miller, "A queueing reward system with several customer classes", 1969). A
- * return goes by stages of the work that the zone used to get. Single-threaded; times come in.
+ * Tracks the health of zones for one dispatcher and limits the requests it sends to them.
+ *
+ * <p>The evidence is the outcomes of the dispatcher's own attempts and probes, correlated over a zone. The backend list is
+ * seconds late and only supplements it.
+ *
+ * <p>Spill is limited to a share of the receiving zone's slots, divided among the dispatchers outside it. The limit applies
+ * to the slots in use and, as a rate, to slot-seconds per second. Trunk reservation keeps part of it for the classes of
+ * higher worth (Miller, "A queueing reward system with several customer classes", 1969). A zone that returns gets its usual
+ * load back in stages.
+ *
+ * <p>Not thread-safe. Every time is passed in, in microseconds on the caller's clock.
  */
 public final class ZonePolicy implements DispatchPolicy.ZoneLimits {
-    /** What a zone's standing rests on, for operators. */
-    public record Status(String zone, ZoneHealth health, String evidence, long healthSince, int returnStage, int lossCount, int readyCount,
-            double usualReadyCount, int silentCount, double slotsInFlight, double spilledSlots, double spillBound, boolean isNextTierOpen, long spillCount,
-            long refusalCount) { }
+    /**
+     * The state of a zone as operators see it.
+     *
+     * @param zone            the zone's name
+     * @param evidence        the evidence for the last change of health
+     * @param healthSince     the time of the last change of health or of the return stage
+     * @param lossCount       the number of losses that are not forgotten
+     * @param readyCount      the number of backends that the list shows as ready
+     * @param usualReadyCount a slowly decaying peak of {@code readyCount}
+     * @param silentCount     the number of backends that do not respond
+     * @param slotsInFlight   the slots that this dispatcher's requests hold in the zone
+     * @param spilledSlots    the part of {@code slotsInFlight} held by spilled requests
+     * @param spillBound      the limit of {@code spilledSlots}
+     * @param isNextTierOpen  whether requests may also use the next tier
+     * @param spillCount      the number of attempts spilled to the zone so far
+     * @param refusalCount    the number of requests refused so far because the own zone is dark or returning
+     */
+    public record Status(String zone, ZoneHealth health, String evidence, long healthSince, int returnStage, int lossCount,
+            int readyCount, double usualReadyCount, int silentCount, double slotsInFlight, double spilledSlots,
+            double spillBound, boolean isNextTierOpen, long spillCount, long refusalCount) { }
 
+    /** The smallest weight of a new value in a moving average. */
     private static final double SMOOTHING_WEIGHT = 0.02;
+    /** The most probes in one round; twice as many for a zone that returns. */
     private static final int PROBES_PER_ROUND = 4;
-    /** A job may be so many deviations longer than the mean: 1 in 100 of a gamma shape of 2 is longer. */
+    /** The interval between two trial requests to a dark zone, and the length of a dispatcher's turn to send them. */
+    private static final int TRIAL_INTERVAL_MICROS = 1_000_000;
+    /** The interval between two probes of a backend in a lost zone. */
+    private static final int LOST_PROBE_INTERVAL_MICROS = 1_000_000;
+    /** The interval between two probes of a failing backend in a sampled zone. */
+    private static final int FAILING_PROBE_INTERVAL_MICROS = 500_000;
+    /** Delays the next probe of a backend in a lost zone by up to this span, which differs by backend and dispatcher. */
+    private static final long PROBE_SPREAD_MICROS = 300_000L;
+    /** A request is taken to run at most this many standard deviations above the mean: 1 % of a gamma of shape 2 exceeds it. */
     private static final double LARGE_REQUEST_DEVIATIONS = 3.5;
-
-    /** A send that is out, or timed out and may still be at work. */
+    /** The limit of a returning zone exceeds its share of the usual load by this factor. */
+    private static final double RETURN_LIMIT_FACTOR = 1.3;
+    /** A stage of a return has succeeded if at most this share of its outcomes are failures. */
+    private static final double MAX_STAGE_FAILURE_SHARE = 0.2;
+    /** A silent backend counts as evidence for this multiple of the evidence window after its first failure. */
+    private static final int SILENCE_WINDOWS = 16;
+    /** Another zone proves that the own network works if it responded this long after the failures began. */
+    private static final int OTHER_ZONE_DELAY_MICROS = 200_000;
+
+    /** An attempt whose slots count as in use: it is in flight, or was given up and may still run on its backend. */
     private record SentAttempt(int zone, double slots, double expectedSlotSeconds, boolean isSpill) { }
 
+    /** An attempt given up by this dispatcher, whose slots count as in use until a time. */
     private record AbandonedAttempt(long countedUntil, SentAttempt attempt) { }
 
-    private final ZoneSettings s;
+    private final ZoneSettings settings;
     private final Zone[] zones;
+    /** By request class, the share of the spill bound that the class may not use. */
     private final double[] spillReserves;
-    /** For each class the mean run for a slot, the mean of its square, and how many were counted. */
+    /** By request class, the mean slot-seconds of a run per slot, the mean of their square, and the number of runs. */
     private final double[][] runStatistics;
     private final Map<Long, ZoneBackend> backends = new HashMap<>();
-    private final Map<Long, List<SentAttempt>> sent = new HashMap<>();
+    /** By request id, the attempts by attempt number; null for one that ended. */
+    private final Map<Long, List<SentAttempt>> attemptsByRequest = new HashMap<>();
     private final ArrayDeque<AbandonedAttempt> abandonedAttempts = new ArrayDeque<>();
-    private final ArrayDeque<String> news = new ArrayDeque<>();
+    private final ArrayDeque<String> pendingLogLines = new ArrayDeque<>();
     private long firstListAt = ZoneBackend.NEVER;
     private long lastRoundAt;
     private int listUpdateCount;
     private long correctedListCount;
 
-    public ZonePolicy(ZoneSettings settings) {
-        s = settings.validated();
-        zones = new Zone[s.zoneNames.size()];
+    /**
+     * Creates a policy under which all zones are whole.
+     *
+     * @throws IllegalArgumentException if a setting is out of range
+     */
+    public ZonePolicy(ZoneSettings zoneSettings) {
+        settings = zoneSettings.validated();
+        zones = new Zone[settings.zoneNames.size()];
         for (int z = 0; z < zones.length; z++) {
-            zones[z] = new Zone(z, s.zoneNames.get(z));
+            zones[z] = new Zone(z, settings.zoneNames.get(z));
         }
-        spillReserves = new double[s.classWorths.length];
-        runStatistics = new double[s.classWorths.length][3];
+        spillReserves = new double[settings.classWorths.length];
+        runStatistics = new double[settings.classWorths.length][3];
         for (int c = 0; c < spillReserves.length; c++) {
-            int better = 0;
-            for (double worth : s.classWorths) {
-                better += worth > s.classWorths[c] ? 1 : 0;
+            int higherWorthCount = 0;
+            for (double worth : settings.classWorths) {
+                higherWorthCount += worth > settings.classWorths[c] ? 1 : 0;
             }
-            spillReserves[c] = spillReserves.length < 2 ? 0 : s.spillReserveShare * better / (spillReserves.length - 1);
+            spillReserves[c] = spillReserves.length < 2 ? 0
+                : settings.spillReserveShare * higherWorthCount / (spillReserves.length - 1);
         }
     }
 
-    // ---- What the module asks
+    // ---- Limits
 
     @Override public int tierCount() {
-        return s.tierCount();
+        return settings.tierCount();
     }
 
-    @Override public int tierOf(int jobClass, int zone) {
-        return zone >= zones.length ? -1 : s.tier(jobClass, zone);
+    @Override public int tierOf(int requestClass, int zone) {
+        return zone >= zones.length ? -1 : settings.tier(requestClass, zone);
     }
 
-    /** Whether a job may look for a node of this tier now; asked before any node is looked at. */
-    @Override public boolean isTierOpen(long now, Request job, boolean repeatable, int tier) {
-        boolean some = false;
-        boolean pressed = true;
+    /**
+     * Whether a request may use a backend of a tier now. A tier is open if one of its zones takes requests and all zones of
+     * the tiers before it have opened the next one.
+     */
+    @Override public boolean isTierOpen(long now, Request request, boolean repeatable, int tier) {
+        boolean hasUsableZone = false;
+        boolean earlierTiersAreOpen = true;
         for (Zone zone : zones) {
-            int of = tierOf(job.classIndex(), zone.index);
-            if (of == tier) {
-                some |= tier == 0 ? zone.health != ZoneHealth.DARK || isTrialDue(now, zone, repeatable)
+            int zoneTier = tierOf(request.classIndex(), zone.index);
+            if (zoneTier == tier) {
+                hasUsableZone |= tier == 0 ? zone.health != ZoneHealth.DARK || isTrialDue(now, zone, repeatable)
                     : zone.health == ZoneHealth.WHOLE || zone.health == ZoneHealth.DEGRADED;
-            } else if (of >= 0 && of < tier) {
-                pressed &= s.nextTierOpenShare >= 1 || zone.nextTierOpen;
+            } else if (zoneTier >= 0 && zoneTier < tier) {
+                earlierTiersAreOpen &= settings.nextTierOpenShare >= 1 || zone.nextTierOpen;
             }
         }
-        return some && pressed;
+        return hasUsableZone && earlierTiersAreOpen;
     }
 
-    /** Whether a node may get the job; {@code load} is minus its free slots, as the module holds them to be. */
-    @Override public boolean admits(long now, Request job, boolean repeatable, int attempts, Backend worker, double load,
+    /**
+     * Whether a backend may get a request.
+     *
+     * @param attempts the number of attempts that the request has had
+     * @param load     minus the backend's free slots, as the dispatch policy estimates them
+     */
+    @Override public boolean admits(long now, Request request, boolean repeatable, int attempts, Backend backend, double load,
             int tier) {
-        Zone zone = zones[worker.zone()];
-        ZoneBackend node = backends.get(worker.id());
-        if (node == null) {
+        Zone zone = zones[backend.zone()];
+        ZoneBackend member = backends.get(backend.id());
+        if (member == null) {
             return true;
         }
-        if (!isSafeForColdBackend(now, zone, node, job, believedStartMicros(worker))) {
+        if (!isSafeForColdBackend(now, zone, member, request, believedStartMicros(backend))) {
             return false;
         }
-        boolean home = worker.zone() == s.ownZone || tier == 0;
-        if (!home) {
-            return maySpill(zone, job, node, load);
+        boolean isFirstChoice = backend.zone() == settings.ownZone || tier == 0;
+        if (!isFirstChoice) {
+            return maySpill(zone, request, member, load);
         }
         return switch (zone.health) {
-            case DARK -> attempts == 0 && node.attemptsInFlight == 0 && isTrialDue(now, zone, repeatable);
-            case RETURNING -> node.recoveredAt >= zone.lastLostAt && zone.slotsInFlight < returningSlotLimit(zone)
-                && free(node, load) >= job.slots();
-            default -> isKnown(now, node) || node.attemptsInFlight == 0;
+            case DARK -> attempts == 0 && member.attemptsInFlight == 0 && isTrialDue(now, zone, repeatable);
+            case RETURNING -> member.recoveredAt >= zone.lastLostAt && zone.slotsInFlight < returningSlotLimit(zone)
+                && freeSlots(member, load) >= request.slots();
+            default -> isKnown(now, member) || member.attemptsInFlight == 0;
         };
     }
 
-    /** What one dispatcher may have at work in a returning zone: a part of what it usually had. */
+    /** Returns the slots that this dispatcher may use in a returning zone: the stage's share of the slots it usually uses. */
     private double returningSlotLimit(Zone zone) {
-        double usual = zone.usualSlotsInFlight > 0 ? zone.usualSlotsInFlight : zone.usableSlots(0, s.defaultSlotsPerBackend) / s.dispatcherCount;
-        return Math.max(1, s.returnStageShares[zone.returnStage] * usual * 1.3);
+        double usual = zone.usualSlotsInFlight > 0 ? zone.usualSlotsInFlight
+            : zone.usableSlots(0, settings.defaultSlotsPerBackend) / settings.dispatcherCount;
+        return Math.max(1, settings.returnStageShares[zone.returnStage] * usual * RETURN_LIMIT_FACTOR);
     }
 
-    private boolean maySpill(Zone zone, Request job, ZoneBackend node, double load) {
+    private boolean maySpill(Zone zone, Request request, ZoneBackend member, double load) {
         if (zone.health == ZoneHealth.DARK || zone.health == ZoneHealth.RETURNING) {
             return false;
         }
-        double leaves = s.spillHeadroomShare * zone.estimatedSlots(node, s.defaultSlotsPerBackend);
-        return hasSpillRoom(zone, job) && free(node, load) - job.slots() >= leaves;
+        double headroom = settings.spillHeadroomShare * zone.estimatedSlots(member, settings.defaultSlotsPerBackend);
+        return hasSpillRoom(zone, request) && freeSlots(member, load) - request.slots() >= headroom;
     }
 
-    /** Free slots; where no report ever came, what our own work leaves of the slots that a node is taken to have. */
-    private double free(ZoneBackend node, double load) {
-        return node.reportedSlots > 0 ? -load : s.defaultSlotsPerBackend - load;
+    /** Returns a backend's free slots; if it never reported any, the default less what this dispatcher's requests use. */
+    private double freeSlots(ZoneBackend member, double load) {
+        return member.reportedSlots > 0 ? -load : settings.defaultSlotsPerBackend - load;
     }
 
-    /** Slots of a zone that this dispatcher may hold from outside. */
+    /**
+     * Returns the slots of a zone that this dispatcher's spilled requests may hold. Dispatchers are taken to be spread evenly
+     * over the zones.
+     */
     private double spillBound(Zone zone) {
-        int home = Math.max(1, s.dispatcherCount / zones.length);
-        int senders = zone.index == s.ownZone ? s.dispatcherCount : Math.max(1, s.dispatcherCount - home);
-        return s.maxSpillShare * zone.usableSlots(countSilent(zone, lastRoundAt), s.defaultSlotsPerBackend) / senders;
+        int dispatchersPerZone = Math.max(1, settings.dispatcherCount / zones.length);
+        int senders = zone.index == settings.ownZone ? settings.dispatcherCount
+            : Math.max(1, settings.dispatcherCount - dispatchersPerZone);
+        return settings.maxSpillShare * zone.usableSlots(countSilent(zone, lastRoundAt), settings.defaultSlotsPerBackend)
+            / senders;
     }
 
-    /** Few trials: a job that may be repeated, first try, a second and a dispatcher at a time, spread by its number. */
+    /**
+     * Whether a dark zone may get a trial request now. Dispatchers take turns of one second by their index, and each sends
+     * one trial in its turn; only repeatable requests serve as trials.
+     */
     private boolean isTrialDue(long now, Zone zone, boolean repeatable) {
-        boolean turn = Math.floorMod(now / 1_000_000, (long) s.dispatcherCount) == s.dispatcherIndex || s.dispatcherCount == 1;
-        return repeatable && turn && now - zone.healthSince >= holdMicros(zone) && now - zone.lastTrialAt >= 1_000_000;
+        boolean isOwnTurn = Math.floorMod(now / TRIAL_INTERVAL_MICROS, (long) settings.dispatcherCount)
+            == settings.dispatcherIndex || settings.dispatcherCount == 1;
+        return repeatable && isOwnTurn && now - zone.healthSince >= holdMicros(zone)
+            && now - zone.lastTrialAt >= TRIAL_INTERVAL_MICROS;
     }
 
-    /** After our own start, or its zone's loss, nothing is known of a node but that the list has it. */
-    private boolean isKnown(long now, ZoneBackend node) {
-        return zones[node.zone].lastLostAt != ZoneBackend.NEVER ? node.recoveredAt >= zones[node.zone].lastLostAt
-            : node.recoveredAt != ZoneBackend.NEVER || now - firstListAt >= s.learningMicros;
+    /**
+     * Whether a backend has responded since its zone was last lost, or since this dispatcher started. Until it has, only the
+     * list says that it exists.
+     */
+    private boolean isKnown(long now, ZoneBackend member) {
+        return zones[member.zone].lastLostAt != ZoneBackend.NEVER ? member.recoveredAt >= zones[member.zone].lastLostAt
+            : member.recoveredAt != ZoneBackend.NEVER || now - firstListAt >= settings.learningMicros;
     }
 
     /**
-     * A node that came back from the dark is taken to be cold from its first sign of life on, and one that has given none
-     * since to start just now: the list tells of a start seconds late.
+     * Returns when a backend started, for the limits on cold backends. After a loss of its zone a backend counts as started
+     * at its first response, or just now if it has not responded: the list shows a restart seconds late.
      */
-    @Override public long believedStartMicros(Backend worker) {
-        ZoneBackend node = backends.get(worker.id());
-        if (node == null || zones[node.zone].lastLostAt == ZoneBackend.NEVER) {
-            return worker.startedAtMicros();
+    @Override public long believedStartMicros(Backend backend) {
+        ZoneBackend member = backends.get(backend.id());
+        if (member == null || zones[member.zone].lastLostAt == ZoneBackend.NEVER) {
+            return backend.startedAtMicros();
         }
-        return Math.max(worker.startedAtMicros(), node.recoveredAt >= zones[node.zone].lastLostAt ? node.recoveredAt : lastRoundAt);
+        return Math.max(backend.startedAtMicros(),
+            member.recoveredAt >= zones[member.zone].lastLostAt ? member.recoveredAt : lastRoundAt);
     }
 
     /**
-     * Whether a job that no node may take is given up at once: where its own zone is lost or coming back. Held back it
-     * would only wait behind others for the same few slots; its client is told when to come back.
+     * Whether a request that no backend may take is refused at once: if all zones of its first tier are dark or returning.
+     * If held, it would only queue behind others for the same few slots; the refusal tells its client when to retry.
      */
-    @Override public boolean refusesUnplaced(long now, Request job) {
+    @Override public boolean refusesUnplaced(long now, Request request) {
         for (Zone zone : zones) {
-            if (tierOf(job.classIndex(), zone.index) == 0
+            if (tierOf(request.classIndex(), zone.index) == 0
                     && (zone.health == ZoneHealth.WHOLE || zone.health == ZoneHealth.DEGRADED)) {
                 return false;
             }
         }
-        zones[s.ownZone].refusalCount++;
+        zones[settings.ownZone].refusalCount++;
         return true;
     }
 
-    private boolean hasSpillRoom(Zone zone, Request job) {
-        double reserve = job.classIndex() < spillReserves.length ? spillReserves[job.classIndex()] : 0;
+    private boolean hasSpillRoom(Zone zone, Request request) {
+        double reserve = request.classIndex() < spillReserves.length ? spillReserves[request.classIndex()] : 0;
         return zone.spilledSlots < spillBound(zone) * (1 - reserve) && zone.spillCredit > 0;
     }
 
     /**
-     * Whether one job that is larger than most of its class could still not fell a cold node by itself: no budget by means
-     * holds against a single job of many times the mean.
+     * Whether a single request cannot overload a cold backend even if it runs far longer than the mean of its class. A budget
+     * based on means does not protect a backend from one request of many times the mean.
      */
-    private boolean isSafeForColdBackend(long now, Zone zone, ZoneBackend node, Request job, long startedAt) {
+    private boolean isSafeForColdBackend(long now, Zone zone, ZoneBackend member, Request request, long startedAt) {
         long age = now - startedAt;
-        if (startedAt == 0 || age >= s.warmUpMicros) {
+        if (startedAt == 0 || age >= settings.warmUpMicros) {
             return true;
         }
-        double[] run = job.classIndex() < runStatistics.length ? runStatistics[job.classIndex()] : null;
-        if (run == null || run[2] < 1) {
+        double[] statistics = request.classIndex() < runStatistics.length ? runStatistics[request.classIndex()] : null;
+        if (statistics == null || statistics[2] < 1) {
             return false;
         }
-        double large = (run[0] + LARGE_REQUEST_DEVIATIONS * Math.sqrt(Math.max(0, run[1] - run[0] * run[0]))) * job.slots();
-        double warmth = s.coldCapacityShare + (1 - s.coldCapacityShare) * age / Math.max(1, s.warmUpMicros);
-        return large <= s.overloadMultiple * warmth * zone.estimatedSlots(node, s.defaultSlotsPerBackend) * s.overloadWindowMicros / 1e6;
+        double largeSlotSeconds = (statistics[0] + LARGE_REQUEST_DEVIATIONS
+            * Math.sqrt(Math.max(0, statistics[1] - statistics[0] * statistics[0]))) * request.slots();
+        double capacityShare = settings.coldCapacityShare
+            + (1 - settings.coldCapacityShare) * age / Math.max(1, settings.warmUpMicros);
+        return largeSlotSeconds <= settings.overloadMultiple * capacityShare
+            * zone.estimatedSlots(member, settings.defaultSlotsPerBackend) * settings.overloadWindowMicros / 1e6;
     }
 
-    // ---- What it is told
+    // ---- Events
 
     @Override public void backendsListed(long now, ListUpdate update, List<Backend> list) {
         if (firstListAt == ZoneBackend.NEVER) {
@@ -214,215 +292,227 @@
             }
         }
         listUpdateCount++;
-        for (Backend worker : list) {
-            if (worker.zone() < 0 || worker.zone() >= zones.length) {
+        for (Backend backend : list) {
+            if (backend.zone() < 0 || backend.zone() >= zones.length) {
                 continue;
             }
-            ZoneBackend node = backends.computeIfAbsent(worker.id(), id -> {
-                ZoneBackend made = new ZoneBackend(id, worker.zone());
-                zones[worker.zone()].backends.add(made);
-                return made;
+            ZoneBackend member = backends.computeIfAbsent(backend.id(), id -> {
+                ZoneBackend added = new ZoneBackend(id, backend.zone());
+                zones[backend.zone()].backends.add(added);
+                return added;
             });
-            node.lastListUpdate = listUpdateCount;
-            setReady(node, worker.state() == BackendState.READY);
+            member.lastListUpdate = listUpdateCount;
+            setReady(member, backend.state() == BackendState.READY);
         }
         if (update != ListUpdate.DELTA && update != ListUpdate.FAILED) {
-            backends.values().stream().filter(node -> node.lastListUpdate != listUpdateCount).forEach(node -> setReady(node, false));
+            backends.values().stream().filter(member -> member.lastListUpdate != listUpdateCount)
+                .forEach(member -> setReady(member, false));
         }
-        backends.values().removeIf(node -> !node.ready && node.attemptsInFlight == 0 && now - node.lastAliveAt > s.lossMemoryMicros
-            && removeFromZone(node));
+        backends.values().removeIf(member -> !member.ready && member.attemptsInFlight == 0
+            && now - member.lastAliveAt > settings.lossMemoryMicros && removeFromZone(member));
         for (Zone zone : zones) {
             zone.usualReadyCount = Math.max(zone.usualReadyCount, zone.readyCount);
         }
     }
 
-    private boolean removeFromZone(ZoneBackend node) {
-        zones[node.zone].failingBackends.remove(node);
-        zones[node.zone].backends.remove(node);
-        if (node.reportedSlots > 0) {
-            zones[node.zone].reportedSlotSum -= node.reportedSlots;
-            zones[node.zone].reportingBackendCount--;
+    /** Removes a backend from its zone's sets and sums; always true, for use in a condition. */
+    private boolean removeFromZone(ZoneBackend member) {
+        zones[member.zone].failingBackends.remove(member);
+        zones[member.zone].backends.remove(member);
+        if (member.reportedSlots > 0) {
+            zones[member.zone].reportedSlotSum -= member.reportedSlots;
+            zones[member.zone].reportingBackendCount--;
         }
         return true;
     }
 
-    private void setReady(ZoneBackend node, boolean is) {
-        if (node.ready != is) {
-            zones[node.zone].readyCount += is ? 1 : -1;
-            node.ready = is;
-            if (!is) {
-                zones[node.zone].failingBackends.remove(node);
+    private void setReady(ZoneBackend member, boolean ready) {
+        if (member.ready != ready) {
+            zones[member.zone].readyCount += ready ? 1 : -1;
+            member.ready = ready;
+            if (!ready) {
+                zones[member.zone].failingBackends.remove(member);
             }
         }
     }
 
     /**
-     * A whole list that leaves out more than half of what was ready, without a word of draining, is likely wrong: what
-     * answers is kept in it. Off unless set: where leaving a list means being gone, this would break that rule.
+     * Returns a list update, with backends added back that it omits but that still respond. A full list that omits more than
+     * half of the ready backends without showing them as draining first is likely wrong. Disabled by default, because at a
+     * site where an unlisted backend is gone for certain the result would be wrong.
+     *
+     * @param before the backends before the update, by id
      */
     public List<Backend> keepUnlistedBackends(long now, ListUpdate update, List<Backend> list, Map<Long, Backend> before) {
-        if (!s.keepsUnlistedBackends || update != ListUpdate.FULL || before.isEmpty()) {
+        if (!settings.keepsUnlistedBackends || update != ListUpdate.FULL || before.isEmpty()) {
             return list;
         }
         List<Backend> missing = new ArrayList<>(before.values());
-        java.util.Set<Long> named = new java.util.HashSet<>();
-        list.forEach(worker -> named.add(worker.id()));
-        missing.removeIf(worker -> worker.state() != BackendState.READY || named.contains(worker.id()));
-        long wereReady = before.values().stream().filter(w -> w.state() == BackendState.READY).count();
-        if (2L * missing.size() <= wereReady) {
+        Set<Long> listedIds = new HashSet<>();
+        list.forEach(backend -> listedIds.add(backend.id()));
+        missing.removeIf(backend -> backend.state() != BackendState.READY || listedIds.contains(backend.id()));
+        long readyBefore = before.values().stream().filter(backend -> backend.state() == BackendState.READY).count();
+        if (2L * missing.size() <= readyBefore) {
             return list;
         }
-        missing.removeIf(worker -> {
-            ZoneBackend node = backends.get(worker.id());
-            return node == null || node.consecutiveFailures > 0 || now - node.lastAliveAt > s.evidenceWindowMicros;
+        missing.removeIf(backend -> {
+            ZoneBackend member = backends.get(backend.id());
+            return member == null || member.consecutiveFailures > 0 || now - member.lastAliveAt > settings.evidenceWindowMicros;
         });
         if (!missing.isEmpty()) {
             correctedListCount++;
-            news.add(String.format(Locale.ROOT, "the list left out more than half of %d nodes at once; %d of them answer "
-                + "and are used on", wereReady, missing.size()));
+            pendingLogLines.add(String.format(Locale.ROOT, "Backend list omits more than half of %d ready backends; "
+                + "keeping %d that still respond", readyBefore, missing.size()));
         }
         List<Backend> kept = new ArrayList<>(list);
         kept.addAll(missing);
         return kept;
     }
 
-    @Override public void attemptSent(long now, Request job, int attempt, Backend worker, double work) {
-        ZoneBackend node = backends.get(worker.id());
-        Zone zone = zones[worker.zone()];
-        boolean spill = tierOf(job.classIndex(), worker.zone()) > 0;
-        SentAttempt one = new SentAttempt(worker.zone(), job.slots(), work, spill);
-        List<SentAttempt> all = sent.computeIfAbsent(job.id(), id -> new ArrayList<>(2));
-        while (all.size() <= attempt) {
-            all.add(null);
-        }
-        all.set(attempt, one);
-        zone.slotsInFlight += one.slots;
-        if (spill) {
-            zone.spilledSlots += one.slots;
-            zone.spillCredit -= work;
+    @Override public void attemptSent(long now, Request request, int attempt, Backend backend,
+            double expectedSlotSeconds) {
+        ZoneBackend member = backends.get(backend.id());
+        Zone zone = zones[backend.zone()];
+        boolean isSpill = tierOf(request.classIndex(), backend.zone()) > 0;
+        SentAttempt sentAttempt = new SentAttempt(backend.zone(), request.slots(), expectedSlotSeconds, isSpill);
+        List<SentAttempt> attempts = attemptsByRequest.computeIfAbsent(request.id(), id -> new ArrayList<>(2));
+        while (attempts.size() <= attempt) {
+            attempts.add(null);
+        }
+        attempts.set(attempt, sentAttempt);
+        zone.slotsInFlight += sentAttempt.slots;
+        if (isSpill) {
+            zone.spilledSlots += sentAttempt.slots;
+            zone.spillCredit -= expectedSlotSeconds;
             zone.spillCount++;
         }
         if (zone.health == ZoneHealth.DARK) {
             zone.lastTrialAt = now;
         }
-        if (node != null) {
-            node.attemptsInFlight++;
+        if (member != null) {
+            member.attemptsInFlight++;
         }
     }
 
-    @Override public void attemptEnded(long now, Request job, int attempt, Backend worker, Outcome outcome, double ran) {
-        List<SentAttempt> all = sent.get(job.id());
-        SentAttempt one = all == null || attempt >= all.size() ? null : all.set(attempt, null);
-        if (one == null) {
+    @Override public void attemptEnded(long now, Request request, int attempt, Backend backend, Outcome outcome,
+            double slotSeconds) {
+        List<SentAttempt> attempts = attemptsByRequest.get(request.id());
+        SentAttempt sentAttempt = attempts == null || attempt >= attempts.size() ? null : attempts.set(attempt, null);
+        if (sentAttempt == null) {
             return;
         }
-        if (all.stream().allMatch(java.util.Objects::isNull)) {
-            sent.remove(job.id());
+        if (attempts.stream().allMatch(Objects::isNull)) {
+            attemptsByRequest.remove(request.id());
         }
-        ZoneBackend node = backends.get(worker.id());
-        if (node != null) {
-            node.attemptsInFlight--;
+        ZoneBackend member = backends.get(backend.id());
+        if (member != null) {
+            member.attemptsInFlight--;
         }
-        if (outcome == Outcome.SERVED && ran > 0 && job.classIndex() < runStatistics.length && job.slots() > 0) {
-            double[] run = runStatistics[job.classIndex()];
-            double weight = Math.max(SMOOTHING_WEIGHT, 1 / ++run[2]);
-            run[0] += weight * (ran / job.slots() - run[0]);
-            run[1] += weight * (ran / job.slots() * ran / job.slots() - run[1]);
+        if (outcome == Outcome.SERVED && slotSeconds > 0 && request.classIndex() < runStatistics.length
+                && request.slots() > 0) {
+            double[] statistics = runStatistics[request.classIndex()];
+            double weight = Math.max(SMOOTHING_WEIGHT, 1 / ++statistics[2]);
+            statistics[0] += weight * (slotSeconds / request.slots() - statistics[0]);
+            statistics[1] += weight * (slotSeconds / request.slots() * slotSeconds / request.slots() - statistics[1]);
         }
-        if (one.isSpill && ran > 0) {
-            zones[one.zone].spillCredit += one.expectedSlotSeconds - ran;
+        if (sentAttempt.isSpill && slotSeconds > 0) {
+            zones[sentAttempt.zone].spillCredit += sentAttempt.expectedSlotSeconds - slotSeconds;
         }
-        // What timed out may still be at work there; it counts for as long as it was expected to run.
-        if (outcome == Outcome.TIMED_OUT || outcome == Outcome.CANCELLED && ran != 0) {
-            abandonedAttempts.add(new AbandonedAttempt(now + (long) (one.expectedSlotSeconds * 1e6), one));
+        // An attempt that was given up may still run on its backend: its slots count for as long as it was expected to run.
+        if (outcome == Outcome.TIMED_OUT || outcome == Outcome.CANCELLED && slotSeconds != 0) {
+            abandonedAttempts.add(
+                new AbandonedAttempt(now + (long) (sentAttempt.expectedSlotSeconds * 1e6), sentAttempt));
         } else {
-            free(one);
+            releaseSlots(sentAttempt);
         }
         switch (outcome) {
-            case SERVED, ERROR, REJECTED, UNFIT -> backendResponded(now, worker.id());
-            case CONNECT_FAILED, RESET, TIMED_OUT -> recordFailure(now, worker.id(), outcome);
+            case SERVED, ERROR, REJECTED, UNFIT -> backendResponded(now, backend.id());
+            case CONNECT_FAILED, RESET, TIMED_OUT -> recordFailure(now, backend.id(), outcome);
             default -> { }
         }
     }
 
-    private void free(SentAttempt one) {
-        Zone zone = zones[one.zone];
-        zone.slotsInFlight = Math.max(0, zone.slotsInFlight - one.slots);
-        zone.spilledSlots = one.isSpill ? Math.max(0, zone.spilledSlots - one.slots) : zone.spilledSlots;
+    private void releaseSlots(SentAttempt attempt) {
+        Zone zone = zones[attempt.zone];
+        zone.slotsInFlight = Math.max(0, zone.slotsInFlight - attempt.slots);
+        zone.spilledSlots = attempt.isSpill ? Math.max(0, zone.spilledSlots - attempt.slots) : zone.spilledSlots;
     }
 
-    @Override public void backendResponded(long now, long worker) {
-        ZoneBackend node = backends.get(worker);
-        if (node == null) {
+    @Override public void backendResponded(long now, long backendId) {
+        ZoneBackend member = backends.get(backendId);
+        if (member == null) {
             return;
         }
-        Zone zone = zones[node.zone];
-        zone.recordAlive(now, node, s.evidenceWindowMicros);
-        if (node.recoveredAt == ZoneBackend.NEVER || node.recoveredAt < zone.lastLostAt || node.isSilent(now) && zone.health != ZoneHealth.WHOLE) {
-            node.recoveredAt = now;
+        Zone zone = zones[member.zone];
+        zone.recordAlive(now, member, settings.evidenceWindowMicros);
+        if (member.recoveredAt == ZoneBackend.NEVER || member.recoveredAt < zone.lastLostAt
+                || member.isSilent(now) && zone.health != ZoneHealth.WHOLE) {
+            member.recoveredAt = now;
         }
-        node.lastAliveAt = now;
+        member.lastAliveAt = now;
         zone.lastAliveAt = now;
-        node.consecutiveFailures = 0;
-        node.connectFailures = 0;
-        node.resets = 0;
-        node.timeouts = 0;
-        zone.failingBackends.remove(node);
+        member.consecutiveFailures = 0;
+        member.connectFailures = 0;
+        member.resets = 0;
+        member.timeouts = 0;
+        zone.failingBackends.remove(member);
         zone.successesInStage++;
     }
 
-    @Override public void startOverdue(long now, long worker) {
-        recordFailure(now, worker, null);
+    @Override public void startOverdue(long now, long backendId) {
+        recordFailure(now, backendId, null);
     }
 
-    /** {@code how} is null for a job that does not start, or a probe without an answer. */
-    private void recordFailure(long now, long worker, Outcome how) {
-        ZoneBackend node = backends.get(worker);
-        if (node == null || !node.ready) {
+    /** Records a failure; {@code outcome} is null for a request that did not start and for a probe without an answer. */
+    private void recordFailure(long now, long backendId, Outcome outcome) {
+        ZoneBackend member = backends.get(backendId);
+        if (member == null || !member.ready) {
             return;
         }
-        node.firstFailureAt = node.consecutiveFailures == 0 ? now : node.firstFailureAt;
-        node.consecutiveFailures++;
-        node.connectFailures += how == Outcome.CONNECT_FAILED ? 1 : 0;
-        node.resets += how == Outcome.RESET ? 1 : 0;
-        node.timeouts += how == null || how == Outcome.TIMED_OUT ? 1 : 0;
-        zones[node.zone].failingBackends.add(node);
-        zones[node.zone].failuresInStage++;
+        member.firstFailureAt = member.consecutiveFailures == 0 ? now : member.firstFailureAt;
+        member.consecutiveFailures++;
+        member.connectFailures += outcome == Outcome.CONNECT_FAILED ? 1 : 0;
+        member.resets += outcome == Outcome.RESET ? 1 : 0;
+        member.timeouts += outcome == null || outcome == Outcome.TIMED_OUT ? 1 : 0;
+        zones[member.zone].failingBackends.add(member);
+        zones[member.zone].failuresInStage++;
     }
 
-    @Override public void probeEnded(long now, long worker, boolean answered, double slots) {
-        ZoneBackend node = backends.get(worker);
-        if (node == null) {
+    @Override public void probeEnded(long now, long backendId, boolean answered, double slots) {
+        ZoneBackend member = backends.get(backendId);
+        if (member == null) {
             return;
         }
         if (!answered) {
-            recordFailure(now, worker, null);
+            recordFailure(now, backendId, null);
             return;
         }
-        backendResponded(now, worker);
-        Zone zone = zones[node.zone];
-        if (slots > node.reportedSlots) {
-            zone.reportingBackendCount += node.reportedSlots == 0 ? 1 : 0;
-            zone.reportedSlotSum += slots - node.reportedSlots;
-            node.reportedSlots = slots;
+        backendResponded(now, backendId);
+        Zone zone = zones[member.zone];
+        if (slots > member.reportedSlots) {
+            zone.reportingBackendCount += member.reportedSlots == 0 ? 1 : 0;
+            zone.reportedSlotSum += slots - member.reportedSlots;
+            member.reportedSlots = slots;
         }
     }
 
-    // ---- Verdicts
+    // ---- Health
 
     @Override public List<Long> runPeriodicCheck(long now) {
         double seconds = lastRoundAt == 0 ? 0 : (now - lastRoundAt) / 1e6;
         lastRoundAt = now;
         while (!abandonedAttempts.isEmpty() && abandonedAttempts.peek().countedUntil <= now) {
-            free(abandonedAttempts.poll().attempt);
+            releaseSlots(abandonedAttempts.poll().attempt);
         }
         List<Long> probes = new ArrayList<>();
         for (Zone zone : zones) {
             double bound = spillBound(zone);
             zone.spillCredit = Math.min(2 * bound, zone.spillCredit + bound * seconds);
-            zone.usualReadyCount += zone.health == ZoneHealth.WHOLE ? seconds / 60 * (zone.readyCount - zone.usualReadyCount) : 0;
+            zone.usualReadyCount += zone.health == ZoneHealth.WHOLE
+                ? seconds / 60 * (zone.readyCount - zone.usualReadyCount) : 0;
             if (zone.health == ZoneHealth.WHOLE && seconds > 0) {
-                zone.usualSlotsInFlight += (zone.usualSlotsInFlight == 0 ? 1 : SMOOTHING_WEIGHT) * (zone.slotsInFlight - zone.usualSlotsInFlight);
+                zone.usualSlotsInFlight += (zone.usualSlotsInFlight == 0 ? 1 : SMOOTHING_WEIGHT)
+                    * (zone.slotsInFlight - zone.usualSlotsInFlight);
             }
             updateHealth(now, zone);
             updateNextTier(zone, now);
@@ -435,201 +525,221 @@
         return probes;
     }
 
-    /** Asks a few nodes of a lost zone for a sign of life; which ones turns with time and with our number. */
+    /** Probes a few backends of a dark or returning zone; the order varies with time and with the dispatcher's index. */
     private void probeLostZone(long now, Zone zone, List<Long> probes) {
-        int most = zone.health == ZoneHealth.DARK ? PROBES_PER_ROUND : 2 * PROBES_PER_ROUND;
-        for (ZoneBackend node : zone.failingBackends) {
-            if (probes.size() >= most) {
+        int limit = zone.health == ZoneHealth.DARK ? PROBES_PER_ROUND : 2 * PROBES_PER_ROUND;
+        for (ZoneBackend member : zone.failingBackends) {
+            if (probes.size() >= limit) {
                 return;
             }
-            if (now - node.lastProbedAt >= 1_000_000 && node.ready) {
-                node.lastProbedAt = now + Math.floorMod(node.id * 31 + s.dispatcherIndex * 7919L, 300_000L);
-                probes.add(node.id);
+            if (now - member.lastProbedAt >= LOST_PROBE_INTERVAL_MICROS && member.ready) {
+                member.lastProbedAt = now
+                    + Math.floorMod(member.id * 31 + settings.dispatcherIndex * 7919L, PROBE_SPREAD_MICROS);
+                probes.add(member.id);
             }
         }
-        // Nodes that nobody has tried since the loss have not failed, and not answered either.
-        if (zone.failingBackends.size() < zone.readyCount && probes.size() < most) {
-            for (ZoneBackend node : zone.backends) {
-                if (probes.size() >= most) {
+        // A backend that was not tried since the loss has neither failed nor responded.
+        if (zone.failingBackends.size() < zone.readyCount && probes.size() < limit) {
+            for (ZoneBackend member : zone.backends) {
+                if (probes.size() >= limit) {
                     return;
                 }
-                if (node.ready && node.recoveredAt < zone.lastLostAt && now - node.lastProbedAt >= 1_000_000) {
-                    node.lastProbedAt = now + Math.floorMod(node.id * 31 + s.dispatcherIndex * 7919L, 300_000L);
-                    probes.add(node.id);
+                if (member.ready && member.recoveredAt < zone.lastLostAt
+                        && now - member.lastProbedAt >= LOST_PROBE_INTERVAL_MICROS) {
+                    member.lastProbedAt = now
+                        + Math.floorMod(member.id * 31 + settings.dispatcherIndex * 7919L, PROBE_SPREAD_MICROS);
+                    probes.add(member.id);
                 }
             }
         }
     }
 
-    /** A zone where we send little is sampled, so that its loss is seen before our work goes there. */
+    /** Probes one backend of a zone that gets too few requests to show a loss before requests are sent there. */
     private void sampleZone(long now, Zone zone, List<Long> probes) {
-        boolean busy = zone.failingBackends.isEmpty() && zone.slotsInFlight >= 2 * s.minSilentBackends;
-        if (busy || now - zone.lastSampledAt < s.sampleIntervalMicros || zone.backends.isEmpty()) {
+        boolean isBusy = zone.failingBackends.isEmpty() && zone.slotsInFlight >= 2 * settings.minSilentBackends;
+        if (isBusy || now - zone.lastSampledAt < settings.sampleIntervalMicros || zone.backends.isEmpty()) {
             return;
         }
         zone.lastSampledAt = now;
-        // One that failed lately is asked again first: a second failure counts, and so does an answer.
-        for (ZoneBackend node : zone.failingBackends) {
-            if (node.ready && now - node.lastProbedAt >= 500_000) {
-                node.lastProbedAt = now;
-                probes.add(node.id);
+        // A backend that failed is probed first: a second failure makes it silent, and a response clears the first one.
+        for (ZoneBackend member : zone.failingBackends) {
+            if (member.ready && now - member.lastProbedAt >= FAILING_PROBE_INTERVAL_MICROS) {
+                member.lastProbedAt = now;
+                probes.add(member.id);
                 return;
             }
         }
         zone.lastSampleIndex = (zone.lastSampleIndex + 1) % zone.backends.size();
-        ZoneBackend node = zone.backends.get(zone.lastSampleIndex);
-        if (node.ready) {
-            node.lastProbedAt = now;
-            probes.add(node.id);
+        ZoneBackend member = zone.backends.get(zone.lastSampleIndex);
+        if (member.ready) {
+            member.lastProbedAt = now;
+            probes.add(member.id);
         }
     }
 
+    /** Returns the number of silent backends whose failures began recently enough to be evidence. */
     private int countSilent(Zone zone, long now) {
         int silent = 0;
-        for (ZoneBackend node : zone.failingBackends) {
-            silent += node.isSilent(now) && now - node.firstFailureAt < 16 * s.evidenceWindowMicros ? 1 : 0;
+        for (ZoneBackend member : zone.failingBackends) {
+            silent += member.isSilent(now) && now - member.firstFailureAt < SILENCE_WINDOWS * settings.evidenceWindowMicros
+                ? 1 : 0;
         }
         return silent;
     }
 
+    /**
+     * Changes a zone's health by the share of silent backends among those tried within the evidence window, or by the share
+     * of the usual backends that the list no longer shows as ready.
+     */
     private void updateHealth(long now, Zone zone) {
         int silent = countSilent(zone, now);
-        int alive = zone.countAlive(now, s.evidenceWindowMicros);
-        int counted = Math.max(0, alive - countSilentButRecentlyAlive(zone, now));
-        double share = silent == 0 ? 0 : silent / (double) (silent + counted);
-        boolean enough = silent >= Math.min(s.minSilentBackends, Math.max(1, zone.readyCount));
-        boolean gone = zone.usualReadyCount >= 1 && zone.readyCount <= (1 - s.darkShare) * zone.usualReadyCount && firstListAt + s.learningMicros < now;
-        boolean dark = (share >= s.darkShare && enough && isAnotherZoneAlive(zone)) || gone;
+        int alive = zone.countAlive(now, settings.evidenceWindowMicros);
+        int responding = Math.max(0, alive - countSilentButRecentlyAlive(zone, now));
+        double silentShare = silent == 0 ? 0 : silent / (double) (silent + responding);
+        boolean isEnoughEvidence = silent >= Math.min(settings.minSilentBackends, Math.max(1, zone.readyCount));
+        boolean isUnlisted = zone.usualReadyCount >= 1 && zone.readyCount <= (1 - settings.darkShare) * zone.usualReadyCount
+            && firstListAt + settings.learningMicros < now;
+        boolean isLost = (silentShare >= settings.darkShare && isEnoughEvidence && isAnotherZoneAlive(zone)) || isUnlisted;
         switch (zone.health) {
             case WHOLE, DEGRADED -> {
-                if (dark) {
+                if (isLost) {
                     changeHealth(now, zone, ZoneHealth.DARK, silent, alive);
-                } else if (zone.health == ZoneHealth.WHOLE && share >= s.degradedShare && enough) {
+                } else if (zone.health == ZoneHealth.WHOLE && silentShare >= settings.degradedShare && isEnoughEvidence) {
                     changeHealth(now, zone, ZoneHealth.DEGRADED, silent, alive);
-                } else if (zone.health == ZoneHealth.DEGRADED && share < s.degradedShare / 2 && now - zone.healthSince > s.minStageMicros) {
+                } else if (zone.health == ZoneHealth.DEGRADED && silentShare < settings.degradedShare / 2
+                        && now - zone.healthSince > settings.minStageMicros) {
                     changeHealth(now, zone, ZoneHealth.WHOLE, silent, alive);
                 }
             }
             case DARK -> {
-                boolean answers = alive > 0 && !dark && zone.readyCount > 0;
-                if (now - zone.healthSince >= holdMicros(zone) && (answers || countRecovered(zone) > 0)) {
+                boolean isResponding = alive > 0 && !isLost && zone.readyCount > 0;
+                if (now - zone.healthSince >= holdMicros(zone) && (isResponding || countRecovered(zone) > 0)) {
                     changeHealth(now, zone, ZoneHealth.RETURNING, silent, alive);
                 }
             }
             default -> {
-                if (dark && !gone && countRecovered(zone) == 0 || zone.readyCount == 0) {
+                if (isLost && !isUnlisted && countRecovered(zone) == 0 || zone.readyCount == 0) {
                     changeHealth(now, zone, ZoneHealth.DARK, silent, alive);
-                } else if (now - zone.healthSince >= s.minStageMicros) {
+                } else if (now - zone.healthSince >= settings.minStageMicros) {
                     advanceReturn(now, zone, silent, alive);
                 }
             }
         }
     }
 
-    /** The next stage where this one went well; the one before where it did not. */
+    /** Moves a returning zone to the next stage if the current one succeeded, otherwise back to the previous one. */
     private void advanceReturn(long now, Zone zone, int silent, int alive) {
-        boolean well = zone.successesInStage > 0 && zone.failuresInStage <= 0.2 * (zone.successesInStage + zone.failuresInStage);
+        boolean hasSucceeded = zone.successesInStage > 0 && zone.failuresInStage
+            <= MAX_STAGE_FAILURE_SHARE * (zone.successesInStage + zone.failuresInStage);
         zone.healthSince = now;
         zone.successesInStage = 0;
         zone.failuresInStage = 0;
-        if (!well) {
+        if (!hasSucceeded) {
             zone.returnStage = Math.max(0, zone.returnStage - 1);
-        } else if (zone.returnStage < s.returnStageShares.length - 1) {
+        } else if (zone.returnStage < settings.returnStageShares.length - 1) {
             zone.returnStage++;
         } else {
-            // What is there now is the new measure of what is usual: some nodes may be gone for good.
+            // Some backends may be gone for good: the present count becomes the usual one.
             zone.usualReadyCount = zone.readyCount;
             changeHealth(now, zone, ZoneHealth.WHOLE, silent, alive);
         }
     }
 
-    /** Nodes that answered after the zone was lost. */
+    /** Returns the number of ready backends that responded after the zone was lost and have not failed since. */
     private long countRecovered(Zone zone) {
-        return zone.backends.stream().filter(node -> node.ready && node.recoveredAt >= zone.lastLostAt && node.consecutiveFailures == 0).count();
+        return zone.backends.stream().filter(member -> member.ready && member.recoveredAt >= zone.lastLostAt
+            && member.consecutiveFailures == 0).count();
     }
 
-    /** Silent nodes whose last sign of life is recent enough to be counted among the living. */
+    /** Returns the number of silent backends that {@link Zone#countAlive} counts because they responded within the window. */
     private int countSilentButRecentlyAlive(Zone zone, long now) {
-        int both = 0;
-        for (ZoneBackend node : zone.failingBackends) {
-            both += node.isSilent(now) && now - node.lastAliveAt < s.evidenceWindowMicros ? 1 : 0;
+        int count = 0;
+        for (ZoneBackend member : zone.failingBackends) {
+            count += member.isSilent(now) && now - member.lastAliveAt < settings.evidenceWindowMicros ? 1 : 0;
         }
-        return both;
+        return count;
     }
 
-    /** Guards against taking our own cut cable for a lost zone: another must have answered since its failures began. */
+    /**
+     * Whether another zone has responded since the failures of this one began. Otherwise the cause may be the dispatcher's
+     * own network connection, and the zone is not taken as lost.
+     */
     private boolean isAnotherZoneAlive(Zone zone) {
-        long began = Long.MAX_VALUE / 2;
-        for (ZoneBackend node : zone.failingBackends) {
-            began = Math.min(began, node.firstFailureAt);
+        long firstFailureAt = Long.MAX_VALUE / 2;
+        for (ZoneBackend member : zone.failingBackends) {
+            firstFailureAt = Math.min(firstFailureAt, member.firstFailureAt);
         }
-        boolean others = false;
+        boolean isAnotherAlive = false;
         for (Zone other : zones) {
-            others |= other != zone && other.lastAliveAt > began + 200_000;
+            isAnotherAlive |= other != zone && other.lastAliveAt > firstFailureAt + OTHER_ZONE_DELAY_MICROS;
         }
-        return others;
+        return isAnotherAlive;
     }
 
+    /** Returns how long a dark zone gets no requests: the initial hold, doubled with each loss that is not forgotten. */
     private long holdMicros(Zone zone) {
-        return Math.min(s.maxHoldMicros, s.initialHoldMicros << Math.min(20, Math.max(0, zone.lossCount - 1)));
+        return Math.min(settings.maxHoldMicros, settings.initialHoldMicros << Math.min(20, Math.max(0, zone.lossCount - 1)));
     }
 
-    private void changeHealth(long now, Zone zone, ZoneHealth to, int silent, int alive) {
-        if (to == ZoneHealth.DARK) {
-            // A loss long ago counts no more; one that follows soon makes the next return wait longer.
-            long quiet = zone.lastLostAt == ZoneBackend.NEVER ? Long.MAX_VALUE / 2 : now - zone.lastLostAt;
-            zone.lossCount = Math.max(0, zone.lossCount - (int) Math.min(30, quiet / s.lossMemoryMicros)) + 1;
+    private void changeHealth(long now, Zone zone, ZoneHealth health, int silent, int alive) {
+        if (health == ZoneHealth.DARK) {
+            // Losses in quick succession lengthen the hold; old ones are forgotten.
+            long sinceLastLoss = zone.lastLostAt == ZoneBackend.NEVER ? Long.MAX_VALUE / 2 : now - zone.lastLostAt;
+            zone.lossCount = Math.max(0, zone.lossCount - (int) Math.min(30, sinceLastLoss / settings.lossMemoryMicros)) + 1;
             zone.lastLostAt = now;
         }
         zone.returnStage = 0;
         zone.successesInStage = 0;
         zone.failuresInStage = 0;
         zone.healthSince = now;
-        zone.health = to;
-        int connects = 0;
-        int breaks = 0;
-        int silences = 0;
-        for (ZoneBackend node : zone.failingBackends) {
-            connects += node.connectFailures;
-            breaks += node.resets;
-            silences += node.timeouts;
+        zone.health = health;
+        int connectFailures = 0;
+        int resets = 0;
+        int timeouts = 0;
+        for (ZoneBackend member : zone.failingBackends) {
+            connectFailures += member.connectFailures;
+            resets += member.resets;
+            timeouts += member.timeouts;
         }
         zone.evidence = String.format(Locale.ROOT, "%d nodes fail (connects %d, breaks %d, silence %d), %d answered within "
-            + "%.1f s, the list has %d of usually %.0f", silent, connects, breaks, silences, alive, s.evidenceWindowMicros / 1e6,
-            zone.readyCount, zone.usualReadyCount);
-        news.add("zone " + zone.name + " is " + to.name().toLowerCase(Locale.ROOT) + ": " + zone.evidence
-            + (to == ZoneHealth.DARK ? String.format(Locale.ROOT, "; left alone for %.1f s", holdMicros(zone) / 1e6) : ""));
+            + "%.1f s, the list has %d of usually %.0f", silent, connectFailures, resets, timeouts, alive,
+            settings.evidenceWindowMicros / 1e6, zone.readyCount, zone.usualReadyCount);
+        pendingLogLines.add("zone " + zone.name + " is " + health.name().toLowerCase(Locale.ROOT) + ": " + zone.evidence
+            + (health == ZoneHealth.DARK
+                ? String.format(Locale.ROOT, "; no requests are sent there for %.1f s", holdMicros(zone) / 1e6) : ""));
     }
 
-    /** The next tier opens below a share of usable nodes and closes above another. */
+    /** Opens the next tier below one share of usable backends and closes it above another. */
     private void updateNextTier(Zone zone, long now) {
-        double share = zone.usualReadyCount < 1 ? 1 : Math.max(0, zone.readyCount - countSilent(zone, now)) / zone.usualReadyCount;
-        boolean lost = zone.health == ZoneHealth.DARK || zone.health == ZoneHealth.RETURNING;
-        zone.nextTierOpen = lost || (zone.nextTierOpen ? share < s.nextTierCloseShare : share <= s.nextTierOpenShare && share < 1);
+        double usableShare = zone.usualReadyCount < 1 ? 1
+            : Math.max(0, zone.readyCount - countSilent(zone, now)) / zone.usualReadyCount;
+        boolean isLost = zone.health == ZoneHealth.DARK || zone.health == ZoneHealth.RETURNING;
+        zone.nextTierOpen = isLost || (zone.nextTierOpen ? usableShare < settings.nextTierCloseShare
+            : usableShare <= settings.nextTierOpenShare && usableShare < 1);
     }
 
     @Override public String pollLogLine() {
-        return news.poll();
+        return pendingLogLines.poll();
     }
 
-    /** How often a list was not believed. */
+    /** Returns how many full lists were corrected by {@link #keepUnlistedBackends}. */
     public long correctedListCount() {
         return correctedListCount;
     }
 
-    /** The standing of a zone. */
+    /** Returns the health of the zone with an index. */
     public ZoneHealth health(int zone) {
         return zones[zone].health;
     }
 
-    /** What operators see. */
+    /** Returns the state of all zones, by zone index. */
     public List<Status> statuses(long now) {
-        List<Status> views = new ArrayList<>();
+        List<Status> statuses = new ArrayList<>();
         for (Zone zone : zones) {
-            views.add(new Status(zone.name, zone.health, zone.evidence, zone.healthSince, zone.returnStage, zone.lossCount, zone.readyCount,
-                zone.usualReadyCount, countSilent(zone, now), zone.slotsInFlight, zone.spilledSlots, spillBound(zone), zone.nextTierOpen, zone.spillCount,
-                zone.refusalCount));
+            statuses.add(new Status(zone.name, zone.health, zone.evidence, zone.healthSince, zone.returnStage,
+                zone.lossCount, zone.readyCount, zone.usualReadyCount, countSilent(zone, now), zone.slotsInFlight,
+                zone.spilledSlots, spillBound(zone), zone.nextTierOpen, zone.spillCount, zone.refusalCount));
         }
-        return views;
+        return statuses;
     }
 }
--- a/src/main/java/badgermux/zone/ZoneSettings.java
+++ b/src/main/java/badgermux/zone/ZoneSettings.java
@@ -3,66 +3,84 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What operators set of zones; spans in microseconds, shares from 0 to 1. {@link #validated} names what makes no sense. */
+/**
+ * The operators' settings of zones. Spans are microseconds, shares are from 0 to 1; {@link #validated} rejects values that
+ * are out of range. Its messages name the settings by their keys in the admin API.
+ */
 public final class ZoneSettings {
-    /** The zones' names, in the module's order. */
+    /** The names of the zones, by zone index. */
     public List<String> zoneNames = new ArrayList<>();
-    /** For each class and zone the tier in which the class may use it, from 0; -1 for never. Null: own first, then any. */
+    /**
+     * By request class and zone, the tier in which the class may use the zone, from 0; -1 for never. If null, the own zone is
+     * tier 0 and all others are tier 1.
+     */
     public int[][] tiersByClass;
-    /** The worth of each class, by which spill is rationed. */
+    /** The worth of each request class; a class of higher worth may use more of the spill bound. */
     public double[] classWorths = {};
-    /** The own zone's number, and how many dispatchers there are. */
+    /** The index of this dispatcher's zone. */
     public int ownZone;
+    /** The number of dispatchers that send to the same backends, this one included. */
     public int dispatcherCount = 1;
-    /** This dispatcher's number among them; trials are spread by it. */
+    /** This dispatcher's number among them, from 0, by which trial requests are spread over time. */
     public int dispatcherIndex;
-    /** The next tier opens when this share of the zones' usual nodes, or less, is of use; it closes at {@link #nextTierCloseShare}. */
+    /** The next tier opens when the usable share of a zone's usual number of backends is at most this. */
     public double nextTierOpenShare = 1;
+    /** The next tier closes when the usable share reaches this. */
     public double nextTierCloseShare = 1;
-    /** A zone is degraded, or dark, when this share of the nodes that were tried lately gave nothing. */
+    /** A zone is degraded when this share of the backends tried within the evidence window does not respond. */
     public double degradedShare = 0.3;
+    /** A zone is dark when this share of the backends tried within the evidence window does not respond. */
     public double darkShare = 0.7;
-    /** How often a zone is asked for a sign of life where our own work brings few. */
+    /** The interval between probes of a zone to which this dispatcher sends too little to see its health. */
     public long sampleIntervalMicros = 300_000;
-    /** Fewer silent nodes than these tell nothing of a zone that has more. */
+    /** Fewer silent backends are not enough evidence against a zone, unless it has fewer ready backends. */
     public int minSilentBackends = 3;
-    /** Evidence older than this counts no more. */
+    /** Responses older than this are no evidence of a zone's health. */
     public long evidenceWindowMicros = 4_000_000;
-    /** The share of a zone's slots that work from other zones may hold, all dispatchers together. */
+    /** The share of a zone's slots that requests of all dispatchers from other zones may hold together. */
     public double maxSpillShare = 0.6;
-    /** The share of a node's slots that spilled work leaves free there; below 0, the share that may wait there for one. */
+    /** The share of a backend's slots that a spilled request must leave free; below 0, the share that may queue there. */
     public double spillHeadroomShare = 0;
-    /** The part of the spill bound kept from the class of least worth; classes between keep in proportion. */
+    /** The share of the spill bound that the class of lowest worth may not use; classes in between in proportion. */
     public double spillReserveShare = 0.2;
-    /** How long a dark zone is left alone at first; doubled with each further loss, up to {@link #maxHoldMicros}. */
+    /** How long a dark zone gets no requests after its first loss; doubled with each further loss. */
     public long initialHoldMicros = 2_000_000;
+    /** The longest time that a dark zone gets no requests. */
     public long maxHoldMicros = 30_000_000;
-    /** A loss is forgotten after this long without another. */
+    /** One loss of a zone is forgotten for each such span without another; unlisted backends are forgotten after it too. */
     public long lossMemoryMicros = 60_000_000;
-    /** How long each stage of a return lasts at least. */
+    /** The shortest duration of a stage of a return, and of the degraded state before a zone is whole again. */
     public long minStageMicros = 1_500_000;
-    /** The part of its usual work that a returning zone gets, stage by stage. */
+    /** The share of its usual load that a returning zone gets in each stage. */
     public double[] returnStageShares = {0.1, 0.25, 0.5, 0.75, 1};
-    /** After its own start a dispatcher sends each node that it does not know one job at a time for so long. */
+    /** How long after its own start a dispatcher sends one request at a time to a backend that has not responded yet. */
     public long learningMicros = 2_000_000;
-    /** A node that comes back is taken to be cold for so long, whatever the list says. */
+    /** How long a backend that returns counts as cold, whatever start time the list gives. */
     public long warmUpMicros = 23_000_000;
-    /** The rule on cold nodes, as the module has it: the share at the start, and the multiple that fells, over a window. */
+    /** The share of its capacity with which a cold backend starts. */
     public double coldCapacityShare = 0.15;
+    /** A cold backend fails when sent this multiple of its present capacity within {@link #overloadWindowMicros}. */
     public double overloadMultiple = 3;
+    /** The window over which {@link #overloadMultiple} applies. */
     public long overloadWindowMicros = 2_000_000;
-    /** How many slots a node has that was never heard of. */
+    /** The number of slots assumed for a backend in a zone from which no load report came. */
     public double defaultSlotsPerBackend = 4;
-    /** Whether nodes that a whole list leaves out, more than half at once, are used on while they answer. */
+    /** Whether a full list that omits more than half of the ready backends keeps those that still respond. */
     public boolean keepsUnlistedBackends;
 
-    /** These settings, if they make sense. */
+    /**
+     * Returns these settings.
+     *
+     * @throws IllegalArgumentException if a value is out of range; its message goes to the caller of the admin API
+     */
     public ZoneSettings validated() {
         require(!zoneNames.isEmpty() && ownZone >= 0 && ownZone < zoneNames.size(), "own: no zone of this number");
-        require(dispatcherCount >= 1 && dispatcherIndex >= 0 && dispatcherIndex < dispatcherCount, "dispatchers or index is out of range");
+        require(dispatcherCount >= 1 && dispatcherIndex >= 0 && dispatcherIndex < dispatcherCount,
+            "dispatchers or index is out of range");
         requireShare("openAt", nextTierOpenShare);
         requireShare("closeAt", nextTierCloseShare);
-        require(nextTierOpenShare <= nextTierCloseShare, "openAt must not be above closeAt: the next tier would open and close at once");
+        require(nextTierOpenShare <= nextTierCloseShare,
+            "openAt must not be above closeAt: the next tier would open and close at once");
         requireShare("degradedAt", degradedShare);
         requireShare("darkAt", darkShare);
         require(degradedShare > 0 && degradedShare < darkShare, "degradedAt must be above 0 and below darkAt");
@@ -70,23 +88,27 @@
         require(spillHeadroomShare >= -1 && spillHeadroomShare <= 1, "spillLeaves must be -1 to 1");
         requireShare("spillReserve", spillReserveShare);
         require(minSilentBackends >= 1, "leastNodes must be 1 or more");
-        require(evidenceWindowMicros >= 500_000 && evidenceWindowMicros <= 60_000_000, "evidenceForMs must be 500 to 60000");
-        require(initialHoldMicros >= 100_000 && initialHoldMicros <= maxHoldMicros, "holdMs must be 100 or more, and longestHoldMs no less");
+        require(evidenceWindowMicros >= 500_000 && evidenceWindowMicros <= 60_000_000,
+            "evidenceForMs must be 500 to 60000");
+        require(initialHoldMicros >= 100_000 && initialHoldMicros <= maxHoldMicros,
+            "holdMs must be 100 or more, and longestHoldMs no less");
         require(minStageMicros >= 100_000 && learningMicros >= 0 && warmUpMicros >= 0 && lossMemoryMicros >= 1_000_000,
             "stageMs, learnsForMs, coldForMs or forgetsAfterMs is too short");
-        require(returnStageShares.length >= 1 && returnStageShares[returnStageShares.length - 1] == 1, "stages must end with 1");
+        require(returnStageShares.length >= 1 && returnStageShares[returnStageShares.length - 1] == 1,
+            "stages must end with 1");
         for (int i = 0; i < returnStageShares.length; i++) {
-            require(returnStageShares[i] > 0 && (i == 0 || returnStageShares[i] > returnStageShares[i - 1]), "stages must grow from above 0");
+            require(returnStageShares[i] > 0 && (i == 0 || returnStageShares[i] > returnStageShares[i - 1]),
+                "stages must grow from above 0");
         }
         require(defaultSlotsPerBackend > 0, "slotsPerNode must be above 0");
         for (int c = 0; tiersByClass != null && c < tiersByClass.length; c++) {
             require(tiersByClass[c].length == zoneNames.size(), "tiers of class " + c + " must name each zone");
-            boolean some = false;
+            boolean hasFirstTier = false;
             for (int tier : tiersByClass[c]) {
-                some |= tier == 0;
+                hasFirstTier |= tier == 0;
                 require(tier >= -1 && tier < zoneNames.size(), "tiers of class " + c + " are out of range");
             }
-            require(some, "tiers of class " + c + " have no first one");
+            require(hasFirstTier, "tiers of class " + c + " have no first one");
         }
         return this;
     }
@@ -101,18 +123,20 @@
         }
     }
 
-    /** How many tiers there are. */
+    /** Returns the number of tiers. */
     int tierCount() {
-        int most = 1;
+        int count = 1;
         for (int c = 0; tiersByClass != null && c < tiersByClass.length; c++) {
             for (int tier : tiersByClass[c]) {
-                most = Math.max(most, tier + 1);
+                count = Math.max(count, tier + 1);
             }
         }
-        return tiersByClass == null ? Math.min(2, zoneNames.size()) : most;
+        return tiersByClass == null ? Math.min(2, zoneNames.size()) : count;
     }
 
-    int tier(int jobClass, int zone) {
-        return tiersByClass == null || jobClass >= tiersByClass.length ? zone == ownZone ? 0 : 1 : tiersByClass[jobClass][zone];
+    /** Returns the tier in which a request class may use a zone, or -1 if it may not. */
+    int tier(int requestClass, int zone) {
+        return tiersByClass == null || requestClass >= tiersByClass.length ? zone == ownZone ? 0 : 1
+            : tiersByClass[requestClass][zone];
     }
 }
--- a/src/main/java/badgermux/zone/package-info.java
+++ b/src/main/java/badgermux/zone/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Zones: which of them a job may use and how much of it, from what a dispatcher sees by itself. Free of I/O, clocks and
- * dice; the decision module asks it before each send and tells it what came of it.
+ * Limits on which zones a request may use and how much of each, derived from what one dispatcher observes. The package
+ * does no I/O and reads no clock and no random numbers; the decision module consults it before each send and reports every
+ * outcome to it.
  */
 package badgermux.zone;
--- a/src/test/java/badgermux/zone/ZonePolicyTest.java
+++ b/src/test/java/badgermux/zone/ZonePolicyTest.java
@@ -5,11 +5,11 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import badgermux.decide.DispatchPolicy.Request;
-import badgermux.decide.DispatchPolicy.ListUpdate;
-import badgermux.decide.DispatchPolicy.Outcome;
 import badgermux.decide.DispatchPolicy.Backend;
 import badgermux.decide.DispatchPolicy.BackendState;
+import badgermux.decide.DispatchPolicy.ListUpdate;
+import badgermux.decide.DispatchPolicy.Outcome;
+import badgermux.decide.DispatchPolicy.Request;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -20,7 +20,7 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** Verdicts and limits of zones, told of events one by one. Node 10z+i stands in zone z. */
+/** Tests the health of zones and the limits on them, event by event. Backend 10z+i is in zone z. */
 class ZonePolicyTest {
     private static final int BACKENDS_PER_ZONE = 6;
 
@@ -30,36 +30,36 @@
     private int lastRequestNumber;
 
     private static ZoneSettings settings() {
-        ZoneSettings s = new ZoneSettings();
-        s.zoneNames = List.of("hanoi", "danang");
-        s.dispatcherCount = 2;
-        s.classWorths = new double[] {1, 2, 3};
-        return s;
+        ZoneSettings settings = new ZoneSettings();
+        settings.zoneNames = List.of("hanoi", "danang");
+        settings.dispatcherCount = 2;
+        settings.classWorths = new double[] {1, 2, 3};
+        return settings;
     }
 
-    private ZonePolicy startPolicy(ZoneSettings s) {
-        ZonePolicy made = new ZonePolicy(s);
-        List<Backend> all = new ArrayList<>();
-        for (int z = 0; z < 2; z++) {
+    private ZonePolicy startPolicy(ZoneSettings zoneSettings) {
+        ZonePolicy started = new ZonePolicy(zoneSettings);
+        List<Backend> list = new ArrayList<>();
+        for (int zone = 0; zone < 2; zone++) {
             for (int i = 0; i < BACKENDS_PER_ZONE; i++) {
-                all.add(backend(z, i, BackendState.READY));
+                list.add(backend(zone, i, BackendState.READY));
             }
         }
-        made.backendsListed(now, ListUpdate.FULL, all);
-        return made;
+        started.backendsListed(now, ListUpdate.FULL, list);
+        return started;
     }
 
     private static Backend backend(int zone, int i, BackendState state) {
         return new Backend(10 * zone + i, zone, 0, 0, state, 0);
     }
 
-    private static Request request(long id, int jobClass) {
-        return new Request(id, jobClass, 0, 1, 0, 10_000_000);
+    private static Request request(long id, int classIndex) {
+        return new Request(id, classIndex, 0, 1, 0, 10_000_000);
     }
 
-    private void forEachBackend(int zone, Consumer<Long> what) {
+    private void forEachBackend(int zone, Consumer<Long> action) {
         for (int i = 0; i < BACKENDS_PER_ZONE; i++) {
-            what.accept(10L * zone + i);
+            action.accept(10L * zone + i);
         }
     }
 
@@ -67,13 +67,13 @@
         forEachBackend(zone, id -> policy.probeEnded(now, id, answered, answered ? 4 : 0));
     }
 
-    /** So many rounds, in which zones answer probes or not. */
-    private void advance(double seconds, boolean hanoi, boolean danang) {
+    /** Advances the time in steps of 0.1 s; all backends of a zone answer a probe every 0.5 s, or none does. */
+    private void advance(double seconds, boolean hanoiAnswers, boolean danangAnswers) {
         for (long end = now + (long) (seconds * 1e6); now < end;) {
             now += 100_000;
             if (now % 500_000 == 0) {
-                probeZone(0, hanoi);
-                probeZone(1, danang);
+                probeZone(0, hanoiAnswers);
+                probeZone(1, danangAnswers);
             }
             policy.runPeriodicCheck(now);
         }
@@ -114,85 +114,86 @@
         advance(5, true, true);
         advance(4, false, true);
         assertEquals(ZoneHealth.DARK, policy.health(0));
-        long dark = now;
+        long darkAt = now;
         while (policy.health(0) == ZoneHealth.DARK) {
             advance(0.1, true, true);
         }
-        assertTrue(now - dark < 4_000_000);
+        assertTrue(now - darkAt < 4_000_000);
         assertEquals(ZoneHealth.RETURNING, policy.health(0));
-        Backend node = backend(0, 0, BackendState.READY);
-        assertTrue(policy.believedStartMicros(node) >= dark - 4_000_000, "whatever the list says of its start");
-        int last = -1;
+        Backend backend = backend(0, 0, BackendState.READY);
+        assertTrue(policy.believedStartMicros(backend) >= darkAt - 4_000_000,
+            "a returned backend is cold despite its listed start");
+        int lastStage = -1;
         while (policy.health(0) == ZoneHealth.RETURNING) {
             int stage = policy.statuses(now).get(0).returnStage();
-            assertTrue(stage >= last && stage <= last + 1, "one stage after another");
-            last = stage;
+            assertTrue(stage >= lastStage && stage <= lastStage + 1, "stages advance one at a time");
+            lastStage = stage;
             advance(0.1, true, true);
         }
         assertEquals(ZoneHealth.WHOLE, policy.health(0));
-        assertTrue(now - dark >= 5 * settings.minStageMicros);
+        assertTrue(now - darkAt >= 5 * settings.minStageMicros);
     }
 
     @Test void repeatedLossDoublesHoldUntilForgotten() {
         advance(5, true, true);
-        long[] held = new long[3];
+        long[] holds = new long[3];
         for (int loss = 0; loss < 3; loss++) {
             while (policy.health(0) != ZoneHealth.DARK) {
                 advance(0.1, false, true);
             }
-            long from = now;
+            long darkAt = now;
             while (policy.health(0) == ZoneHealth.DARK) {
                 advance(0.1, true, true);
             }
-            held[loss] = now - from;
+            holds[loss] = now - darkAt;
             advance(2, true, true);
         }
-        assertTrue(held[1] >= 1.8 * held[0] && held[2] >= 1.8 * held[1], held[0] + " " + held[1] + " " + held[2]);
+        assertTrue(holds[1] >= 1.8 * holds[0] && holds[2] >= 1.8 * holds[1], holds[0] + " " + holds[1] + " " + holds[2]);
         advance(200, true, true);
         while (policy.health(0) != ZoneHealth.DARK) {
             advance(0.1, false, true);
         }
-        long from = now;
+        long darkAt = now;
         while (policy.health(0) == ZoneHealth.DARK) {
             advance(0.1, true, true);
         }
-        assertTrue(now - from <= 1.3 * held[0] + 200_000, "and it is forgotten");
+        assertTrue(now - darkAt <= 1.3 * holds[0] + 200_000, "old losses are forgotten");
     }
 
-    /** Spill is never over its bound by more than one job, whatever comes and goes, and less worth stops first. */
+    /** Spill exceeds its bound by at most one request, whatever requests start and end. */
     @Property(seed = "20261201", tries = 200)
     void spillStaysUnderItsBound(@ForAll Random random) {
-        policy = startPolicy(settings);   // jqwik keeps one object for all tries
+        policy = startPolicy(settings);   // jqwik runs all tries on one instance
         advance(5, true, true);
         advance(4, false, true);
-        Map<Long, Integer> out = new HashMap<>();
-        Map<Integer, Double> most = new HashMap<>();
+        Map<Long, Integer> classByOpenRequest = new HashMap<>();
+        Map<Integer, Double> maxSpilledByClass = new HashMap<>();
         for (int step = 0; step < 400; step++) {
             now += 20_000;
             long id = ++lastRequestNumber + 100L;
-            int kind = random.nextInt(3);
-            Backend node = backend(1, random.nextInt(BACKENDS_PER_ZONE), BackendState.READY);
-            if (policy.isTierOpen(now, request(id, kind), kind < 2, 1)
-                    && policy.admits(now, request(id, kind), kind < 2, 0, node, -4, 1)) {
-                policy.attemptSent(now, request(id, kind), 0, node, 0.1);
-                out.put(id, kind);
+            int classIndex = random.nextInt(3);
+            Backend backend = backend(1, random.nextInt(BACKENDS_PER_ZONE), BackendState.READY);
+            if (policy.isTierOpen(now, request(id, classIndex), classIndex < 2, 1)
+                    && policy.admits(now, request(id, classIndex), classIndex < 2, 0, backend, -4, 1)) {
+                policy.attemptSent(now, request(id, classIndex), 0, backend, 0.1);
+                classByOpenRequest.put(id, classIndex);
             }
-            if (random.nextInt(5) == 0 && !out.isEmpty()) {
-                long done = out.keySet().iterator().next();
-                policy.attemptEnded(now, request(done, out.remove(done)), 0, node, random.nextBoolean() ? Outcome.SERVED
-                    : Outcome.CANCELLED, 0.1);
+            if (random.nextInt(5) == 0 && !classByOpenRequest.isEmpty()) {
+                long endedId = classByOpenRequest.keySet().iterator().next();
+                policy.attemptEnded(now, request(endedId, classByOpenRequest.remove(endedId)), 0, backend,
+                    random.nextBoolean() ? Outcome.SERVED : Outcome.CANCELLED, 0.1);
             }
             if (step % 5 == 0) {
                 policy.runPeriodicCheck(now);
-                forEachBackend(1, node2 -> policy.backendResponded(now, node2));
+                forEachBackend(1, backendId -> policy.backendResponded(now, backendId));
             }
-            ZonePolicy.Status view = policy.statuses(now).get(1);
-            assertTrue(view.spilledSlots() <= view.spillBound() + 1, view.toString());
-            most.merge(kind, view.spilledSlots(), Math::max);
+            ZonePolicy.Status status = policy.statuses(now).get(1);
+            assertTrue(status.spilledSlots() <= status.spillBound() + 1, status.toString());
+            maxSpilledByClass.merge(classIndex, status.spilledSlots(), Math::max);
         }
     }
 
-    /** A verdict does not turn back and forth: between two losses lies the hold at least. */
+    /** A zone's health does not oscillate: a dark zone stays dark for at least the initial hold. */
     @Property(seed = "20261201", tries = 100)
     void darkZoneStaysDarkForItsHold(@ForAll Random random) {
         policy = startPolicy(settings);
@@ -203,7 +204,7 @@
             advance(0.1, random.nextInt(3) > 0, true);
             if (policy.health(0) != before) {
                 if (before == ZoneHealth.DARK) {
-                    assertTrue(now - since >= settings.initialHoldMicros, "held for " + (now - since));
+                    assertTrue(now - since >= settings.initialHoldMicros, "dark for only " + (now - since));
                 }
                 before = policy.health(0);
                 since = now;
@@ -220,21 +221,25 @@
         forEachBackend(1, id -> before.put(id, backend(1, (int) (id - 10), BackendState.READY)));
         assertEquals(12, policy.keepUnlistedBackends(now, ListUpdate.FULL, List.of(), before).size());
         assertEquals(0, policy.keepUnlistedBackends(now, ListUpdate.DELTA, List.of(), before).size());
-        List<Backend> most = new ArrayList<>(before.values());
-        most.remove(0);
-        assertEquals(11, policy.keepUnlistedBackends(now, ListUpdate.FULL, most, before).size(), "one that left is gone");
+        List<Backend> allButOne = new ArrayList<>(before.values());
+        allButOne.remove(0);
+        assertEquals(11, policy.keepUnlistedBackends(now, ListUpdate.FULL, allButOne, before).size(),
+            "a single unlisted backend is removed");
         advance(6, false, true);
-        assertEquals(6, policy.keepUnlistedBackends(now, ListUpdate.FULL, List.of(), before).size(), "and so are those that are silent");
+        assertEquals(6, policy.keepUnlistedBackends(now, ListUpdate.FULL, List.of(), before).size(),
+            "silent backends are removed");
     }
 
     @Test void invalidSettingsAreRejected() {
-        for (Consumer<ZoneSettings> wrong : List.<Consumer<ZoneSettings>>of(s -> s.nextTierOpenShare = 2, s -> s.nextTierCloseShare = 0.5,
-                s -> s.darkShare = 0.2, s -> s.maxSpillShare = -1, s -> s.initialHoldMicros = 1, s -> s.returnStageShares = new double[] {0.5},
-                s -> s.returnStageShares = new double[] {0.5, 0.2, 1}, s -> s.minSilentBackends = 0, s -> s.zoneNames = List.of(),
-                s -> s.tiersByClass = new int[][] {{1, 1}}, s -> s.tiersByClass = new int[][] {{0}})) {
-            ZoneSettings s = settings();
-            wrong.accept(s);
-            assertThrows(IllegalArgumentException.class, s::validated);
+        for (Consumer<ZoneSettings> change : List.<Consumer<ZoneSettings>>of(s -> s.nextTierOpenShare = 2,
+                s -> s.nextTierCloseShare = 0.5, s -> s.darkShare = 0.2, s -> s.maxSpillShare = -1,
+                s -> s.initialHoldMicros = 1, s -> s.returnStageShares = new double[] {0.5},
+                s -> s.returnStageShares = new double[] {0.5, 0.2, 1}, s -> s.minSilentBackends = 0,
+                s -> s.zoneNames = List.of(), s -> s.tiersByClass = new int[][] {{1, 1}},
+                s -> s.tiersByClass = new int[][] {{0}})) {
+            ZoneSettings invalid = settings();
+            change.accept(invalid);
+            assertThrows(IllegalArgumentException.class, invalid::validated);
         }
     }
 }
