--- a/src/main/java/badgermux/core/AfterInputExecutor.java
+++ b/src/main/java/badgermux/core/AfterInputExecutor.java
@@ -3,12 +3,12 @@
 import java.util.concurrent.Executor;
 
 /**
- * Runs tasks of an event loop once all input that had come when its present round began has been dealt with, the ends of
- * connections included.
+ * Runs tasks on an event loop after all input that had arrived when its current round began has been handled, including
+ * closed connections.
  *
- * <p>An event loop reads its connections first and runs its tasks then. The end of a connection is told by such a task, which
- * stands in the queue behind those of connections that were read earlier in the round; so a task that is to come behind all
- * of them is put into the queue from a task.
+ * <p>In each round an event loop first reads its connections and then runs its queued tasks. The end of a connection is
+ * reported by a queued task, behind the tasks of connections read earlier in the round. A task that must run after all of
+ * them is therefore submitted twice: the first task submits the second.
  */
 public final class AfterInputExecutor implements Executor {
     private final Executor eventLoop;
@@ -16,7 +16,7 @@
     /**
      * Wraps an event loop.
      *
-     * @param eventLoop runs tasks one after another, in the order in which they came
+     * @param eventLoop runs tasks sequentially in the order of their submission
      */
     public AfterInputExecutor(Executor eventLoop) {
         this.eventLoop = eventLoop;
--- a/src/main/java/badgermux/core/BackendClient.java
+++ b/src/main/java/badgermux/core/BackendClient.java
@@ -1,27 +1,28 @@
 package badgermux.core;
 
 /**
- * The way to the backends. Whatever comes of an attempt or a probe is told to the {@link Engine}, which allows that from
- * inside these calls too.
+ * Sends attempts and probes to backends. Their outcomes are reported to the {@link Engine}, which also accepts them while
+ * one of these methods runs.
  *
- * @param <P> what a request carries; the engine does not look into it
+ * @param <P> the payload of a request, opaque to the engine
  */
 public interface BackendClient<P> {
-    /** Starts an attempt, which the engine ends itself at {@code limit}. */
-    void startAttempt(long attempt, long backend, P payload, long limit);
+    /** Starts an attempt; the engine aborts it at {@code deadline}, in microseconds on its clock. */
+    void startAttempt(long attempt, long backend, P payload, long deadline);
 
-    /** Gives an attempt up; nothing more is told of it. */
+    /** Aborts an attempt; its outcome is not reported. */
     void abort(long attempt);
 
     /**
-     * Gives an attempt up if no byte of it has been written, and tells whether it has: then its backend never hears of it,
-     * and nothing more is told of it.
+     * Aborts an attempt if none of its bytes has been written, in which case the backend never sees it.
+     *
+     * @return whether the attempt was aborted; if so, its outcome is not reported
      */
     boolean withdraw(long attempt);
 
-    /** Asks a backend for its load; answered once by {@link Engine#probeEnded}. */
+    /** Requests a load report from a backend; {@link Engine#probeEnded} is called once with the result. */
     void probe(long backend);
 
-    /** Closes idle connections. */
+    /** Closes the idle connections to a backend. */
     void closeIdleConnections(long backend);
 }
--- a/src/main/java/badgermux/core/Clock.java
+++ b/src/main/java/badgermux/core/Clock.java
@@ -1,23 +1,24 @@
 package badgermux.core;
 
 /**
- * The module's clock: microseconds that never go back. It starts at the wall clock's time, so that a Unix time lies on
- * it as it is, and runs on the monotonic clock from there.
+ * A monotonic clock in microseconds. It starts at the time of the wall clock, so that Unix times can be compared with it, and
+ * then advances with {@link System#nanoTime}.
  */
 public final class Clock {
     private final long wallMicrosAtStart = System.currentTimeMillis() * 1000;
     private final long nanosAtStart = System.nanoTime();
 
+    /** Returns the current time in microseconds; it never decreases. */
     public long nowMicros() {
         return wallMicrosAtStart + (System.nanoTime() - nanosAtStart) / 1000;
     }
 
-    /** A time on this clock as Unix time in milliseconds. */
+    /** Converts a time on this clock to Unix time in milliseconds. */
     public long toUnixMillis(long micros) {
         return micros / 1000;
     }
 
-    /** A Unix time in milliseconds on this clock; 0, which stands for long ago, stays 0. */
+    /** Converts a Unix time in milliseconds to a time on this clock; 0 or less, which means long ago, becomes 0. */
     public long fromUnixMillis(double millis) {
         return millis <= 0 ? 0 : Math.round(millis * 1000);
     }
--- a/src/main/java/badgermux/core/Deadlines.java
+++ b/src/main/java/badgermux/core/Deadlines.java
@@ -6,18 +6,21 @@
 import java.util.function.LongSupplier;
 import org.tinylog.Logger;
 
-/** Every deadline of the process, in one ordered structure; who drives it asks when the next one is due. */
+/**
+ * All deadlines of the process in one ordered set, driven by one alarm. Times are microseconds on the clock passed in. Not
+ * thread-safe.
+ */
 public final class Deadlines {
-    /** Something to be done at a time, unless it is cancelled first. */
+    /** A task to run at a time unless it is cancelled first. */
     public static final class Deadline implements Comparable<Deadline> {
         private final long dueAt;
         private final long sequence;
         private final Runnable task;
 
-        private Deadline(long at, long order, Runnable what) {
-            this.dueAt = at;
-            this.sequence = order;
-            this.task = what;
+        private Deadline(long dueAt, long sequence, Runnable task) {
+            this.dueAt = dueAt;
+            this.sequence = sequence;
+            this.task = task;
         }
 
         @Override public int compareTo(Deadline other) {
@@ -25,43 +28,47 @@
         }
     }
 
-    /** Has {@link #runDue} called at a time, and forgets the time it was told before. */
+    /** Calls {@link #runDue} at a time. Setting a new time replaces the previous one. */
     public interface Alarm {
         void set(long at);
     }
 
-    /** A deadline that runs so much late tells of a standstill, in microseconds. */
+    /** A deadline that runs later than this shows that the event loop has stalled. */
     private static final long STALL_THRESHOLD_MICROS = 20_000;
-    /** What falls due so much later runs behind the next round of input, in microseconds. */
+    /** A deadline scheduled this far ahead runs after the next round of input. */
     private static final long NEXT_ROUND_DELAY_MICROS = 1_000;
 
     private final TreeSet<Deadline> pending = new TreeSet<>();
     private final LongSupplier clock;
     private final Alarm alarm;
     private final Metrics metrics;
+    /** The time for which the alarm is set. */
     private long alarmAt = Long.MAX_VALUE;
     private long nextSequence;
-    /** When the deadline fell due that ran last behind a standstill; cleared behind the next round of input. */
+    /** The due time of the first deadline that a stall delayed; cleared after the next round of input. */
     private long stalledSince = Long.MAX_VALUE;
 
+    /** Creates an empty set; exceptions in tasks are counted in {@code metrics}. */
     public Deadlines(LongSupplier clock, Alarm alarm, Metrics metrics) {
         this.clock = clock;
         this.alarm = alarm;
         this.metrics = metrics;
     }
 
-    public Deadline scheduleAfter(long delay, Runnable what) {
-        return scheduleAt(clock.getAsLong() + Math.max(0, delay), what);
+    /** Schedules a task after a delay; a negative delay counts as 0. */
+    public Deadline scheduleAfter(long delayMicros, Runnable task) {
+        return scheduleAt(clock.getAsLong() + Math.max(0, delayMicros), task);
     }
 
-    public Deadline scheduleAt(long at, Runnable what) {
-        Deadline deadline = new Deadline(at, nextSequence++, what);
+    /** Schedules a task at a time. Tasks with equal times run in the order in which they were scheduled. */
+    public Deadline scheduleAt(long at, Runnable task) {
+        Deadline deadline = new Deadline(at, nextSequence++, task);
         pending.add(deadline);
         updateAlarm();
         return deadline;
     }
 
-    /** Null and deadlines that have passed are skipped. */
+    /** Cancels a deadline; does nothing if it is null or has run. */
     public void cancel(Deadline deadline) {
         if (deadline != null) {
             pending.remove(deadline);
@@ -69,16 +76,16 @@
     }
 
     /**
-     * For how long the event loop has stood still before the present round of input, in microseconds; 0 where it has not. What
-     * is read now may have come as long ago. A standstill is seen in full only as far as some deadline fell due at its
-     * beginning.
+     * Returns how long the event loop was stalled before the current round of input, in microseconds; 0 if it was not. Input
+     * read now may have arrived that long ago. The result is exact only if some deadline was due when the stall began, and
+     * too small otherwise.
      */
     public long stallMicros() {
         long dueSince = pending.isEmpty() ? Long.MAX_VALUE : pending.first().dueAt;
         return Math.max(0, clock.getAsLong() - Math.min(dueSince, stalledSince));
     }
 
-    /** Runs what is due, in order; what falls due meanwhile waits for the next alarm. */
+    /** Runs all due tasks in order; tasks that become due meanwhile wait for the next alarm. */
     public void runDue() {
         alarmAt = Long.MAX_VALUE;
         long now = clock.getAsLong();
@@ -94,19 +101,19 @@
         }
     }
 
-    /** Until the next round of input has been read: what came during the standstill is read there. */
+    /** Records a stall until the next round of input is over, in which the input that arrived during the stall is read. */
     private void recordStall(long now) {
         stalledSince = Math.min(stalledSince, pending.first().dueAt);
         scheduleAt(now + NEXT_ROUND_DELAY_MICROS, () -> stalledSince = Long.MAX_VALUE);
     }
 
-    /** Guards against one fault that takes all later deadlines with it; errors, too, such as a stack that overflows. */
+    /** Runs one task. An exception or error in it, such as a stack overflow, must not prevent later deadlines from running. */
     private void runTask(Deadline due) {
         try {
             due.task.run();
         } catch (RuntimeException | Error e) {
             metrics.increment(Count.EXCEPTIONS);
-            Logger.error(e, "exception at a deadline");
+            Logger.error(e, "Uncaught exception in a deadline task");
         }
     }
 
--- a/src/main/java/badgermux/core/Engine.java
+++ b/src/main/java/badgermux/core/Engine.java
@@ -12,58 +12,63 @@
 import org.tinylog.Logger;
 
 /**
- * Carries out what the decision module decides, and tells it what comes of it. Knows requests, attempts and deadlines, and
- * nothing of the protocols in front and behind. Single-threaded: all calls come from the event loop.
+ * Carries out the decisions of the dispatch policy and reports what happens to it. The engine tracks requests, attempts and
+ * deadlines, and is independent of the protocols of clients and backends. Not thread-safe: all calls come from the event loop.
  *
- * @param <P> what a request carries from its front to the backends
+ * @param <P> the payload of a request, passed from the frontend to the backend client
  */
 public final class Engine<P> implements DispatchPolicy.Actions {
-    /** An attempt ends this long before its client gives up: its deadline ran while the request was on its way here. */
+    /**
+     * An attempt ends this long before its client gives up: the client's deadline already ran while the request was on its
+     * way to this dispatcher.
+     */
     static final long ATTEMPT_MARGIN_MICROS = 30_000;
-    /** A request that is unanswered this long before its client gives up is failed, whatever the module does. */
+    /** A request still open this long before its client gives up fails, whatever the policy does. */
     static final long ANSWER_MARGIN_MICROS = 15_000;
 
-    /** A client's request until its final answer and the last outcome of its attempts. */
+    /** A request until its final answer and the outcome of its last attempt. */
     private static final class PendingRequest<P> {
         private final ResponseListener listener;
         private final P payload;
         private final int requestClass;
         private final long attemptDeadline;
         private final boolean isDeadlineKnown;
+        /** The handles of its attempts by attempt number; 0 for one that was not sent. */
         private final List<Long> attemptHandles = new ArrayList<>(2);
         private Deadlines.Deadline answerDeadline;
         private int attemptsInFlight;
         private boolean isClosed;
         private boolean hasTimedOut;
 
-        PendingRequest(ResponseListener asker, P payload, int jobClass, long attemptLimit, boolean timeKnown) {
-            this.listener = asker;
+        PendingRequest(ResponseListener listener, P payload, int requestClass, long attemptDeadline,
+                boolean isDeadlineKnown) {
+            this.listener = listener;
             this.payload = payload;
-            this.requestClass = jobClass;
-            this.attemptDeadline = attemptLimit;
-            this.isDeadlineKnown = timeKnown;
+            this.requestClass = requestClass;
+            this.attemptDeadline = attemptDeadline;
+            this.isDeadlineKnown = isDeadlineKnown;
         }
 
         /**
-         * Whether one attempt more may begin. Guards against a further attempt that tells its backend more time than its
-         * client has: where that is not known, there is only a first one.
+         * Whether another attempt may start. If the client's deadline is unknown, only the first attempt may: a later one
+         * could give its backend more time than the client has left.
          */
         boolean mayAttempt(long now, int maxAttempts) {
             return !isClosed && attemptHandles.size() < (isDeadlineKnown ? maxAttempts : 1) && now < attemptDeadline;
         }
     }
 
-    /** One attempt at a backend; {@code limit} ends it. */
+    /** One attempt at a backend; {@code deadline} ends it. */
     private static final class Attempt {
         private final long requestId;
         private final int number;
         private final long backendId;
         private Deadlines.Deadline deadline;
 
-        Attempt(long request, int number, long backend) {
-            this.requestId = request;
+        Attempt(long requestId, int number, long backendId) {
+            this.requestId = requestId;
             this.number = number;
-            this.backendId = backend;
+            this.backendId = backendId;
         }
     }
 
@@ -76,10 +81,11 @@
     private final int maxAttempts;
     private DispatchPolicy policy;
     private BackendClient<P> backendClient;
-    private Runnable watch;
+    private Runnable backendListWatcher;
     private boolean isDispatchingEvents;
     private int openRequestCount;
 
+    /** Creates an engine that makes at most {@code maxAttempts} attempts for a request. */
     public Engine(LongSupplier clock, Deadlines deadlines, Metrics metrics, int maxAttempts) {
         this.clock = clock;
         this.deadlines = deadlines;
@@ -89,252 +95,280 @@
         metrics.registerGauge("fetches_out", attempts::size);
     }
 
-    /** Joins the parts that need the engine to be made; called once, before any event. */
-    public void connect(DispatchPolicy decisions, BackendClient<P> backends, Runnable watchList) {
-        policy = decisions;
-        backendClient = backends;
-        watch = watchList;
+    /**
+     * Connects the components that need the engine for their own construction; called once, before any event.
+     *
+     * @param watcher subscribes to changes of the backend list
+     */
+    public void connect(DispatchPolicy dispatchPolicy, BackendClient<P> client, Runnable watcher) {
+        policy = dispatchPolicy;
+        backendClient = client;
+        backendListWatcher = watcher;
     }
 
-    /** How many requests wait for their final answer. */
+    /** Returns the number of requests without a final answer. */
     public int openRequestCount() {
         return openRequestCount;
     }
 
-    // ---- From the front
+    // ---- Events from the frontend
 
     /**
-     * Takes a request of a class and a tenant in.
+     * Accepts a request and passes it to the dispatch policy.
      *
-     * @param until     when its client gives up, in microseconds on the clock; the latest time, where it is not known
-     * @param timeKnown whether that is known: its connection did not wait to be let in
-     * @return the handle for {@link #clientDisconnected}
+     * @param deadline        when the client gives up, in microseconds on the clock; if unknown, the latest possible time
+     * @param isDeadlineKnown whether {@code deadline} is exact; it is not if the client's connection waited to be accepted
+     * @return the handle of the request, for {@link #clientDisconnected}
      */
-    public long submit(ResponseListener asker, P payload, int jobClass, int tenant, double slots, long until, boolean timeKnown) {
+    public long submit(ResponseListener listener, P payload, int requestClass, int tenant, double slots, long deadline,
+            boolean isDeadlineKnown) {
         metrics.increment(Count.REQS_TAKEN);
-        PendingRequest<P> r = new PendingRequest<>(asker, payload, jobClass, until - ATTEMPT_MARGIN_MICROS, timeKnown);
-        long id = requests.add(r);
+        PendingRequest<P> request = new PendingRequest<>(listener, payload, requestClass, deadline - ATTEMPT_MARGIN_MICROS,
+            isDeadlineKnown);
+        long id = requests.add(request);
         openRequestCount++;
-        r.answerDeadline = deadlines.scheduleAt(until - ANSWER_MARGIN_MICROS, () -> failOverdue(id));
-        // The module counts on the time until attempts end, which leaves it room to answer after a time-out.
+        request.answerDeadline = deadlines.scheduleAt(deadline - ANSWER_MARGIN_MICROS, () -> failOverdue(id));
+        // The policy is given the time until attempts end, which leaves it time to answer after a time-out.
         dispatchEvent(id, () -> {
             long now = clock.getAsLong();
-            policy.requestReceived(now, new DispatchPolicy.Request(id, jobClass, tenant, slots, 0, Math.max(0, until - ATTEMPT_MARGIN_MICROS - now)));
+            policy.requestReceived(now, new DispatchPolicy.Request(id, requestClass, tenant, slots, 0,
+                Math.max(0, deadline - ATTEMPT_MARGIN_MICROS - now)));
         });
         return id;
     }
 
-    /** The client has left before its final answer. */
+    /** Closes a request whose client disconnected before its final answer. */
     public void clientDisconnected(long id) {
-        PendingRequest<P> r = requests.get(id);
-        if (r == null || r.isClosed) {
+        PendingRequest<P> request = requests.get(id);
+        if (request == null || request.isClosed) {
             return;
         }
         metrics.increment(Count.CLIENTS_GONE);
-        closeRequest(r);
-        exportLearnedState(id);
+        closeRequest(request);
+        notifyClientGone(id);
     }
 
-    private void exportLearnedState(long id) {
+    /** Tells the policy that a request is closed without one of its decisions. */
+    private void notifyClientGone(long id) {
         dispatchEvent(id, () -> {
             policy.clientDisconnected(clock.getAsLong(), id);
             removeIfFinished(id);
         });
     }
 
-    /** Guards against a request that the module holds beyond its client's patience: none goes unanswered. */
+    /** Fails a request that is still open shortly before its client gives up, so that no request goes unanswered. */
     private void failOverdue(long id) {
-        PendingRequest<P> r = requests.get(id);
-        if (r == null || r.isClosed) {
+        PendingRequest<P> request = requests.get(id);
+        if (request == null || request.isClosed) {
             return;
         }
         metrics.increment(Count.ANSWERS_OVERDUE);
-        failRequest(r, true);
-        exportLearnedState(id);
+        failRequest(request, true);
+        notifyClientGone(id);
     }
 
-    // ---- From the backends
+    // ---- Events from the backends
 
-    public void attemptStarted(long attempt) {
-        Attempt a = findAttempt(attempt);
-        if (a != null) {
-            dispatchEvent(a.requestId, () -> policy.attemptStarted(clock.getAsLong(), a.requestId, a.number));
+    /** A backend has started to run an attempt. */
+    public void attemptStarted(long handle) {
+        Attempt attempt = findAttempt(handle);
+        if (attempt != null) {
+            dispatchEvent(attempt.requestId,
+                () -> policy.attemptStarted(clock.getAsLong(), attempt.requestId, attempt.number));
         }
     }
 
-    public void attemptProgressed(long attempt) {
-        Attempt a = findAttempt(attempt);
-        if (a != null) {
-            dispatchEvent(a.requestId, () -> policy.attemptProgressed(clock.getAsLong(), a.requestId, a.number));
+    /** A backend has reported that an attempt is still running. */
+    public void attemptProgressed(long handle) {
+        Attempt attempt = findAttempt(handle);
+        if (attempt != null) {
+            dispatchEvent(attempt.requestId,
+                () -> policy.attemptProgressed(clock.getAsLong(), attempt.requestId, attempt.number));
         }
     }
 
     /**
-     * An attempt has ended; {@code result} is its answer where the outcome is SERVED, {@code report} may be null. Where a
-     * backend has served what can't be used, the result is null: the request fails, and it does not run again.
+     * An attempt has ended.
+     *
+     * @param result the response if the outcome is SERVED; null if that response is unusable, in which case the request
+     *               fails and is not sent again
+     * @param report the load report that came with the response; may be null
      */
-    public void attemptEnded(long attempt, Outcome outcome, byte[] result, DispatchPolicy.LoadReport report) {
-        Attempt a = attempts.remove(attempt);
-        if (a == null) {
+    public void attemptEnded(long handle, Outcome outcome, byte[] result, DispatchPolicy.LoadReport report) {
+        Attempt attempt = attempts.remove(handle);
+        if (attempt == null) {
             metrics.increment(Count.LATE_EVENTS);
             return;
         }
-        deadlines.cancel(a.deadline);
-        finishAttempt(a, outcome, result, report);
+        deadlines.cancel(attempt.deadline);
+        finishAttempt(attempt, outcome, result, report);
     }
 
-    public void probeEnded(long backend, boolean answered, DispatchPolicy.LoadReport report) {
+    /** A probe has ended; {@code report} may be null. */
+    public void probeEnded(long backendId, boolean answered, DispatchPolicy.LoadReport report) {
         if (answered) {
             metrics.increment(Count.PROBES_ANSWERED);
         }
-        dispatchEvent(0, () -> policy.probeEnded(clock.getAsLong(), backend, answered, report));
+        dispatchEvent(0, () -> policy.probeEnded(clock.getAsLong(), backendId, answered, report));
     }
 
-    private Attempt findAttempt(long attempt) {
-        Attempt a = attempts.get(attempt);
-        if (a == null) {
+    /** Returns an attempt, or null if it has ended; the event is counted as late then. */
+    private Attempt findAttempt(long handle) {
+        Attempt attempt = attempts.get(handle);
+        if (attempt == null) {
             metrics.increment(Count.LATE_EVENTS);
         }
-        return a;
+        return attempt;
     }
 
-    /** What the module leaves to the next process. */
+    // ---- Hot restart and shutdown
+
+    /** Returns the policy's learned state for the next process. */
     public DispatchPolicy.LearnedState exportLearnedState() {
         return policy.exportLearnedState();
     }
 
-    /** Has the module go on from what the process before left. */
-    public void importLearnedState(DispatchPolicy.LearnedState left) {
-        policy.importLearnedState(left);
+    /** Passes the learned state of the previous process to the policy. */
+    public void importLearnedState(DispatchPolicy.LearnedState learnedState) {
+        policy.importLearnedState(learnedState);
     }
 
     /**
-     * Has some of the open requests answered now, as this process is about to be ended: those first of which no attempt has
-     * been made, whose end is the cheapest.
+     * Answers some of the open requests now because this process is about to exit. Requests without an attempt come first,
+     * because they are the cheapest to end.
      *
-     * @param most how many at most
+     * @param limit the most requests to answer
      */
-    public void answerBeforeExit(int most) {
-        List<Long> chosen = new ArrayList<>(requests.findHandles(r -> !r.isClosed && r.attemptHandles.isEmpty(), most));
-        chosen.addAll(requests.findHandles(r -> !r.isClosed && !r.attemptHandles.isEmpty(), most - chosen.size()));
-        for (long id : chosen) {
+    public void answerBeforeExit(int limit) {
+        List<Long> selected = new ArrayList<>(requests.findHandles(
+            request -> !request.isClosed && request.attemptHandles.isEmpty(), limit));
+        selected.addAll(requests.findHandles(
+            request -> !request.isClosed && !request.attemptHandles.isEmpty(), limit - selected.size()));
+        for (long id : selected) {
             dispatchEvent(id, () -> policy.answerBeforeExit(clock.getAsLong(), id));
             dispatchEvent(id, () -> failIfUnanswered(id));
         }
     }
 
-    /** Guards against a request that the module leaves open although its process ends. */
+    /** Fails a request that the policy has left open although the process exits. */
     private void failIfUnanswered(long id) {
-        PendingRequest<P> r = requests.get(id);
-        if (r != null && !r.isClosed) {
-            failRequest(r, true);
-            exportLearnedState(id);
+        PendingRequest<P> request = requests.get(id);
+        if (request != null && !request.isClosed) {
+            failRequest(request, true);
+            notifyClientGone(id);
         }
     }
 
-    /** Whether the module gives a backend no work now. */
-    public boolean isAvoided(long backend) {
-        return policy.isAvoided(backend);
+    /** Whether the policy currently sends no requests to a backend. */
+    public boolean isAvoided(long backendId) {
+        return policy.isAvoided(backendId);
     }
 
-    // ---- From discovery
+    // ---- Events from discovery
 
+    /** The backend list was updated, or a call to discovery failed. */
     public void backendsListed(DispatchPolicy.ListUpdate update, List<DispatchPolicy.Backend> list) {
         dispatchEvent(0, () -> policy.backendsListed(clock.getAsLong(), update, list));
     }
 
     // ---- Outcomes and final answers
 
-    private void attemptTimedOut(long attempt) {
-        Attempt a = attempts.remove(attempt);
-        if (a != null) {
-            backendClient.abort(attempt);
-            finishAttempt(a, Outcome.TIMED_OUT, null, null);
+    private void attemptTimedOut(long handle) {
+        Attempt attempt = attempts.remove(handle);
+        if (attempt != null) {
+            backendClient.abort(handle);
+            finishAttempt(attempt, Outcome.TIMED_OUT, null, null);
         }
     }
 
-    /** The first result reaches the client at once; each outcome is told, with whether its request is settled by then. */
-    private void finishAttempt(Attempt a, Outcome outcome, byte[] result, DispatchPolicy.LoadReport report) {
+    /**
+     * Passes the first result to the client at once, and every outcome to the policy, along with whether the request is
+     * closed by then.
+     */
+    private void finishAttempt(Attempt attempt, Outcome outcome, byte[] result, DispatchPolicy.LoadReport report) {
         metrics.increment(Count.valueOf("FETCHES_" + outcome));
-        PendingRequest<P> r = requests.get(a.requestId);
-        r.attemptsInFlight--;
-        r.hasTimedOut |= outcome == Outcome.TIMED_OUT;
-        if (outcome == Outcome.SERVED && result == null && !r.isClosed) {
-            failRequest(r, false);
-        } else if (outcome == Outcome.SERVED && !r.isClosed) {
-            closeRequest(r);
-            metrics.recordEnding(Ending.ANSWERED, r.requestClass);
-            notifyListener(() -> r.listener.onServed(result));
+        PendingRequest<P> request = requests.get(attempt.requestId);
+        request.attemptsInFlight--;
+        request.hasTimedOut |= outcome == Outcome.TIMED_OUT;
+        if (outcome == Outcome.SERVED && result == null && !request.isClosed) {
+            failRequest(request, false);
+        } else if (outcome == Outcome.SERVED && !request.isClosed) {
+            closeRequest(request);
+            metrics.recordEnding(Ending.ANSWERED, request.requestClass);
+            notifyListener(() -> request.listener.onServed(result));
         }
-        dispatchEvent(a.requestId, () -> {
-            policy.attemptEnded(clock.getAsLong(), a.requestId, a.number, a.backendId, outcome, r.isClosed, report);
-            removeIfFinished(a.requestId);
+        dispatchEvent(attempt.requestId, () -> {
+            policy.attemptEnded(clock.getAsLong(), attempt.requestId, attempt.number, attempt.backendId, outcome,
+                request.isClosed, report);
+            removeIfFinished(attempt.requestId);
         });
     }
 
-    private void failRequest(PendingRequest<P> r, boolean late) {
-        closeRequest(r);
-        metrics.recordEnding(Ending.ERRORED, r.requestClass);
-        notifyListener(() -> r.listener.onFailed(late));
+    private void failRequest(PendingRequest<P> request, boolean timedOut) {
+        closeRequest(request);
+        metrics.recordEnding(Ending.ERRORED, request.requestClass);
+        notifyListener(() -> request.listener.onFailed(timedOut));
     }
 
-    /** Guards against an outcome that the module never hears of, since its client's connection had an exception. */
-    private void notifyListener(Runnable asker) {
+    /** Calls a listener. An exception there, from a client's connection, must not keep the outcome from the policy. */
+    private void notifyListener(Runnable notification) {
         try {
-            asker.run();
+            notification.run();
         } catch (RuntimeException e) {
             metrics.increment(Count.EXCEPTIONS);
-            Logger.error(e, "exception at an answer");
+            Logger.error(e, "Uncaught exception in a response listener");
         }
     }
 
-    private void closeRequest(PendingRequest<P> r) {
-        r.isClosed = true;
+    private void closeRequest(PendingRequest<P> request) {
+        request.isClosed = true;
         openRequestCount--;
-        deadlines.cancel(r.answerDeadline);
-        // Guards against a connection that comes up late and takes an attempt whose client has left or has its answer,
-        // also where nothing that was sent may be cancelled: none of this one was.
-        for (long handle : List.copyOf(r.attemptHandles)) {
+        deadlines.cancel(request.answerDeadline);
+        // Unwritten attempts are withdrawn even where attempts cannot be cancelled: otherwise a connection that is established
+        // late would still send an attempt whose client has left or has its answer.
+        for (long handle : List.copyOf(request.attemptHandles)) {
             withdraw(handle);
         }
     }
 
-    /** Takes an attempt back of which nothing has been written: it surely never ran. */
-    public void withdraw(long attempt) {
-        Attempt a = attempts.get(attempt);
-        if (a != null && backendClient.withdraw(attempt)) {
-            attempts.remove(attempt);
-            deadlines.cancel(a.deadline);
-            dispatchEvent(a.requestId, () -> finishAttempt(a, Outcome.MOOT, null, null));
+    /** Ends an attempt as MOOT if none of its bytes has been written, which proves that it did not run. */
+    public void withdraw(long handle) {
+        Attempt attempt = attempts.get(handle);
+        if (attempt != null && backendClient.withdraw(handle)) {
+            attempts.remove(handle);
+            deadlines.cancel(attempt.deadline);
+            dispatchEvent(attempt.requestId, () -> finishAttempt(attempt, Outcome.MOOT, null, null));
         }
     }
 
-    /** A request leaves the table once nothing more can be told of it. */
+    /** Removes a request that is closed and has no attempt in flight, so that no further event can concern it. */
     private void removeIfFinished(long id) {
-        PendingRequest<P> r = requests.get(id);
-        if (r != null && r.isClosed && r.attemptsInFlight == 0) {
+        PendingRequest<P> request = requests.get(id);
+        if (request != null && request.isClosed && request.attemptsInFlight == 0) {
             requests.remove(id);
         }
     }
 
     /**
-     * Tells the module of events one after another: what an action brings about at once waits until the event that
-     * caused it has been dealt with. An exception ends the request it came up in (0: none), not the process.
+     * Runs an event after those queued before it. An event caused by an action of the policy waits until the event that led
+     * to the action is complete. An exception fails the event's request, not the process.
+     *
+     * @param requestId the request that the event concerns; 0 for none
      */
-    private void dispatchEvent(long request, Runnable event) {
+    private void dispatchEvent(long requestId, Runnable event) {
         pendingEvents.add(() -> {
             try {
                 event.run();
             } catch (RuntimeException e) {
                 metrics.increment(Count.EXCEPTIONS);
-                Logger.error(e, "exception in an event");
-                PendingRequest<P> r = requests.get(request);
-                if (r != null && !r.isClosed) {
-                    failRequest(r, false);
-                    // Guards against a request that has its answer and that the module goes on holding, and sends later.
-                    exportLearnedState(request);
+                Logger.error(e, "Uncaught exception in an engine event");
+                PendingRequest<P> request = requests.get(requestId);
+                if (request != null && !request.isClosed) {
+                    failRequest(request, false);
+                    // Otherwise the policy would keep the answered request and send it later.
+                    notifyClientGone(requestId);
                 }
-                removeIfFinished(request);
+                removeIfFinished(requestId);
             }
         });
         if (isDispatchingEvents) {
@@ -350,71 +384,73 @@
         }
     }
 
-    // ---- What the module decides
+    // ---- Actions of the policy
 
-    @Override public void send(long job, long worker) {
-        PendingRequest<P> r = requests.get(job);
-        if (r == null) {
-            throw new IllegalStateException("the module sends a req that has ended");
+    @Override public void send(long requestId, long backendId) {
+        PendingRequest<P> request = requests.get(requestId);
+        if (request == null) {
+            throw new IllegalStateException("request to be sent has already ended");
         }
-        Attempt a = new Attempt(job, r.attemptHandles.size(), worker);
-        r.attemptsInFlight++;
-        if (!r.mayAttempt(clock.getAsLong(), maxAttempts)) {
-            r.attemptHandles.add(0L);
-            dispatchEvent(job, () -> finishAttempt(a, Outcome.MOOT, null, null));
+        Attempt attempt = new Attempt(requestId, request.attemptHandles.size(), backendId);
+        request.attemptsInFlight++;
+        if (!request.mayAttempt(clock.getAsLong(), maxAttempts)) {
+            request.attemptHandles.add(0L);
+            dispatchEvent(requestId, () -> finishAttempt(attempt, Outcome.MOOT, null, null));
             return;
         }
         metrics.increment(Count.FETCHES_SENT);
-        long handle = attempts.add(a);
-        r.attemptHandles.add(handle);
-        a.deadline = deadlines.scheduleAt(r.attemptDeadline, () -> attemptTimedOut(handle));
-        backendClient.startAttempt(handle, worker, r.payload, r.attemptDeadline);
-    }
-
-    @Override public void refuse(long job, long comeBack) {
-        PendingRequest<P> r = requests.get(job);
-        if (r != null && !r.isClosed) {
-            closeRequest(r);
-            metrics.recordEnding(Ending.DEFERRED, r.requestClass);
-            notifyListener(() -> r.listener.onRefused(comeBack));
-            dispatchEvent(job, () -> removeIfFinished(job));
+        long handle = attempts.add(attempt);
+        request.attemptHandles.add(handle);
+        attempt.deadline = deadlines.scheduleAt(request.attemptDeadline, () -> attemptTimedOut(handle));
+        backendClient.startAttempt(handle, backendId, request.payload, request.attemptDeadline);
+    }
+
+    @Override public void refuse(long requestId, long retryAfterMicros) {
+        PendingRequest<P> request = requests.get(requestId);
+        if (request != null && !request.isClosed) {
+            closeRequest(request);
+            metrics.recordEnding(Ending.DEFERRED, request.requestClass);
+            notifyListener(() -> request.listener.onRefused(retryAfterMicros));
+            dispatchEvent(requestId, () -> removeIfFinished(requestId));
         }
     }
 
-    @Override public void fail(long job) {
-        PendingRequest<P> r = requests.get(job);
-        if (r != null && !r.isClosed) {
-            failRequest(r, r.hasTimedOut);
-            dispatchEvent(job, () -> removeIfFinished(job));
+    @Override public void fail(long requestId) {
+        PendingRequest<P> request = requests.get(requestId);
+        if (request != null && !request.isClosed) {
+            failRequest(request, request.hasTimedOut);
+            dispatchEvent(requestId, () -> removeIfFinished(requestId));
         }
     }
 
-    @Override public void cancel(long job, int attempt) {
-        PendingRequest<P> r = requests.get(job);
-        long handle = r == null || attempt >= r.attemptHandles.size() ? 0 : r.attemptHandles.get(attempt);
-        Attempt a = attempts.remove(handle);
-        if (a != null) {
-            deadlines.cancel(a.deadline);
+    @Override public void cancel(long requestId, int attemptNumber) {
+        PendingRequest<P> request = requests.get(requestId);
+        long handle = request == null || attemptNumber >= request.attemptHandles.size() ? 0
+            : request.attemptHandles.get(attemptNumber);
+        Attempt attempt = attempts.remove(handle);
+        if (attempt != null) {
+            deadlines.cancel(attempt.deadline);
             backendClient.abort(handle);
-            dispatchEvent(job, () -> finishAttempt(a, Outcome.CANCELLED, null, null));
+            dispatchEvent(requestId, () -> finishAttempt(attempt, Outcome.CANCELLED, null, null));
         }
     }
 
-    @Override public void startTimer(long delay, int token) {
-        deadlines.scheduleAfter(delay, () -> dispatchEvent(0, () -> policy.timerFired(clock.getAsLong(), token)));
+    @Override public void startTimer(long delayMicros, int token) {
+        deadlines.scheduleAfter(delayMicros,
+            () -> dispatchEvent(0, () -> policy.timerFired(clock.getAsLong(), token)));
     }
 
-    @Override public void probe(long worker) {
+    @Override public void probe(long backendId) {
         metrics.increment(Count.PROBES_SENT);
-        backendClient.probe(worker);
+        backendClient.probe(backendId);
     }
 
-    @Override public void closeIdleConnections(long worker) {
-        backendClient.closeIdleConnections(worker);
+    @Override public void closeIdleConnections(long backendId) {
+        backendClient.closeIdleConnections(backendId);
     }
 
     @Override public void watchBackendList() {
-        watch.run();
+        backendListWatcher.run();
     }
 
     @Override public void log(String line) {
--- a/src/main/java/badgermux/core/HandleTable.java
+++ b/src/main/java/badgermux/core/HandleTable.java
@@ -6,8 +6,8 @@
 import java.util.function.Predicate;
 
 /**
- * Numbered slots, each with a generation. A handle names a slot and the generation it was given in, so that an event
- * that comes after its entry has left finds nothing, not the entry that took the slot over.
+ * A table of entries addressed by handles. A handle holds an index and the generation of the entry at that index, so that a
+ * late event for a removed entry finds nothing, rather than the entry that now has its index.
  */
 public final class HandleTable<T> {
     private static final int INDEX_BITS = 20;
@@ -19,60 +19,66 @@
     private int freeIndexCount;
     private int size;
 
-    /** Puts an entry into a free slot and returns its handle, which is positive and under 2^52. */
+    /**
+     * Adds an entry.
+     *
+     * @return its handle, which is positive and less than 2^52
+     * @throws IllegalStateException if all 2^20 indexes are in use
+     */
     public long add(T entry) {
-        int slot;
+        int index;
         if (freeIndexCount > 0) {
-            slot = freeIndexes[--freeIndexCount];
-            entries.set(slot, entry);
+            index = freeIndexes[--freeIndexCount];
+            entries.set(index, entry);
         } else {
-            slot = entries.size();
-            if (slot > INDEX_MASK) {
-                throw new IllegalStateException("all " + slot + " slots are taken");
+            index = entries.size();
+            if (index > INDEX_MASK) {
+                throw new IllegalStateException("handle table is full: " + index + " entries");
             }
             entries.add(entry);
             generations.add(1L);
         }
         size++;
-        return generations.get(slot) << INDEX_BITS | slot;
+        return generations.get(index) << INDEX_BITS | index;
     }
 
-    /** The entry, or null if it has left. */
+    /** Returns the entry of a handle, or null if it has been removed. */
     public T get(long handle) {
-        int slot = (int) (handle & INDEX_MASK);
-        boolean current = slot < entries.size() && generations.get(slot) == handle >>> INDEX_BITS;
-        return current ? entries.get(slot) : null;
+        int index = (int) (handle & INDEX_MASK);
+        boolean isCurrent = index < entries.size() && generations.get(index) == handle >>> INDEX_BITS;
+        return isCurrent ? entries.get(index) : null;
     }
 
-    /** Takes an entry out; null if it has left before. */
+    /** Removes and returns an entry; null if it had been removed before. */
     public T remove(long handle) {
         T entry = get(handle);
         if (entry == null) {
             return null;
         }
-        int slot = (int) (handle & INDEX_MASK);
-        entries.set(slot, null);
-        generations.set(slot, generations.get(slot) + 1);
+        int index = (int) (handle & INDEX_MASK);
+        entries.set(index, null);
+        generations.set(index, generations.get(index) + 1);
         if (freeIndexCount == freeIndexes.length) {
             freeIndexes = Arrays.copyOf(freeIndexes, 2 * freeIndexCount);
         }
-        freeIndexes[freeIndexCount++] = slot;
+        freeIndexes[freeIndexCount++] = index;
         size--;
         return entry;
     }
 
-    /** The handles of the first entries for which {@code which} holds, in the order of their slots, {@code most} at most. */
+    /** Returns the handles of up to {@code limit} entries that match {@code filter}, in the order of their indexes. */
     public List<Long> findHandles(Predicate<T> filter, int limit) {
         List<Long> handles = new ArrayList<>();
-        for (int slot = 0; slot < entries.size() && handles.size() < limit; slot++) {
-            T entry = entries.get(slot);
+        for (int index = 0; index < entries.size() && handles.size() < limit; index++) {
+            T entry = entries.get(index);
             if (entry != null && filter.test(entry)) {
-                handles.add(generations.get(slot) << INDEX_BITS | slot);
+                handles.add(generations.get(index) << INDEX_BITS | index);
             }
         }
         return handles;
     }
 
+    /** Returns the number of entries. */
     public int size() {
         return size;
     }
--- a/src/main/java/badgermux/core/ResponseListener.java
+++ b/src/main/java/badgermux/core/ResponseListener.java
@@ -1,13 +1,17 @@
 package badgermux.core;
 
-/** Who handed in a request. Told its final answer, one of these three, exactly once. */
+/** Receives the final answer to a request: exactly one of the methods is called, once. */
 public interface ResponseListener {
-    /** Served: the result as the backend gave it. */
+    /** A backend served the request; {@code result} is its response, unchanged. */
     void onServed(byte[] result);
 
-    /** A synthetic answer: not done, and asking again is harmless, best after so many microseconds (0: no advice). */
-    void onRefused(long comeBack);
+    /**
+     * The request was refused: it did not run, and a retry is safe.
+     *
+     * @param retryAfterMicros the advised delay before a retry; 0 for no advice
+     */
+    void onRefused(long retryAfterMicros);
 
-    /** Failed, with no promise; {@code late} says that time ran out. */
-    void onFailed(boolean late);
+    /** The request failed and may have run; {@code timedOut} is true if its time ran out. */
+    void onFailed(boolean timedOut);
 }
--- a/src/main/java/badgermux/core/package-info.java
+++ b/src/main/java/badgermux/core/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The engine that carries decisions out. It knows no protocol: a front is an {@link badgermux.core.Asker}, the backends
- * are an {@link badgermux.core.Outbound}.
+ * The engine that carries out the decisions of the dispatch policy. It is independent of protocols: clients are represented
+ * by {@link badgermux.core.ResponseListener}, backends by {@link badgermux.core.BackendClient}.
  */
 package badgermux.core;
--- a/src/test/java/badgermux/core/EngineTest.java
+++ b/src/test/java/badgermux/core/EngineTest.java
@@ -9,13 +9,14 @@
 import badgermux.decide.DispatchPolicy.Outcome;
 import badgermux.metrics.Metrics;
 import badgermux.metrics.Metrics.Count;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The engine between a module that does what each test says, and a front and backends that record. */
+/** Tests the engine with a scripted dispatch policy and a listener and a backend client that record their calls. */
 class EngineTest {
-    private static final long SECOND = 1_000_000;
+    private static final long SECOND_MICROS = 1_000_000;
 
     private final List<String> policyEvents = new ArrayList<>();
     private final List<String> answers = new ArrayList<>();
@@ -23,7 +24,7 @@
     private final List<Long> abortedAttempts = new ArrayList<>();
     private final List<Long> unwrittenAttempts = new ArrayList<>();
     private final Metrics metrics = new Metrics(List.of("a", "b", "c"));
-    private long now = SECOND;
+    private long now = SECOND_MICROS;
     private final Deadlines deadlines = new Deadlines(() -> now, at -> { }, metrics);
     private final Engine<String> engine = new Engine<>(() -> now, deadlines, metrics, 2);
     private Runnable onRequestReceived = () -> { };
@@ -33,21 +34,21 @@
 
     private final ResponseListener listener = new ResponseListener() {
         @Override public void onServed(byte[] result) {
-            answers.add("served " + new String(result, java.nio.charset.StandardCharsets.UTF_8));
+            answers.add("served " + new String(result, StandardCharsets.UTF_8));
         }
 
-        @Override public void onRefused(long comeBack) {
-            answers.add("synthetic " + comeBack);
+        @Override public void onRefused(long retryAfterMicros) {
+            answers.add("refused " + retryAfterMicros);
         }
 
-        @Override public void onFailed(boolean late) {
-            answers.add("failed " + late);
+        @Override public void onFailed(boolean timedOut) {
+            answers.add("failed " + timedOut);
         }
     };
 
     EngineTest() {
         engine.connect(new RecordingPolicy(), new BackendClient<>() {
-            @Override public void startAttempt(long attempt, long backend, String payload, long limit) {
+            @Override public void startAttempt(long attempt, long backend, String payload, long deadline) {
                 startedAttempts.add(attempt);
             }
 
@@ -70,21 +71,20 @@
             return null;
         }
 
-        @Override public void importLearnedState(LearnedState left) { }
+        @Override public void importLearnedState(LearnedState learnedState) { }
 
-        @Override public void answerBeforeExit(long time, long job) {
-            policyEvents.add("ending " + (job == EngineTest.this.requestId));
+        @Override public void answerBeforeExit(long time, long id) {
+            policyEvents.add("answer before exit " + (id == requestId));
         }
 
-
-        @Override public boolean isAvoided(long worker) {
+        @Override public boolean isAvoided(long backendId) {
             return false;
         }
 
-        @Override public void backendsListed(long time, ListUpdate update, List<Backend> workers) { }
+        @Override public void backendsListed(long time, ListUpdate update, List<Backend> backends) { }
 
-        @Override public void requestReceived(long time, Request taken) {
-            requestId = taken.id();
+        @Override public void requestReceived(long time, Request request) {
+            requestId = request.id();
             onRequestReceived.run();
         }
 
@@ -96,16 +96,16 @@
 
         @Override public void responseStreaming(long time, long id, int attempt) { }
 
-        @Override public void attemptEnded(long time, long id, int attempt, long worker, Outcome outcome, boolean settled,
-                LoadReport report) {
-            policyEvents.add(attempt + " " + outcome + " " + settled);
+        @Override public void attemptEnded(long time, long id, int attempt, long backendId, Outcome outcome,
+                boolean isClosed, LoadReport report) {
+            policyEvents.add(attempt + " " + outcome + " " + isClosed);
             onAttemptEnded.run();
         }
 
-        @Override public void probeEnded(long time, long worker, boolean answered, LoadReport report) { }
+        @Override public void probeEnded(long time, long backendId, boolean answered, LoadReport report) { }
 
         @Override public void clientDisconnected(long time, long id) {
-            policyEvents.add("gone");
+            policyEvents.add("disconnected");
         }
 
         @Override public void timerFired(long time, int token) {
@@ -115,7 +115,7 @@
 
     private void submit(Runnable decision) {
         onRequestReceived = decision;
-        engine.submit(listener, "payload", 0, 0, 1, now + 10 * SECOND, isDeadlineKnown);
+        engine.submit(listener, "payload", 0, 0, 1, now + 10 * SECOND_MICROS, isDeadlineKnown);
     }
 
     private void sendTwoAttempts() {
@@ -124,10 +124,10 @@
     }
 
     private static byte[] bytes(String text) {
-        return text.getBytes(java.nio.charset.StandardCharsets.UTF_8);
+        return text.getBytes(StandardCharsets.UTF_8);
     }
 
-    /** A second connection was still coming up: its attempt was written although the client had its answer. */
+    /** If the connection of a second attempt is established late, the attempt must not be written after the final answer. */
     @Test void unwrittenAttemptsAreWithdrawnWhenRequestCloses() {
         submit(this::sendTwoAttempts);
         unwrittenAttempts.add(startedAttempts.get(1));
@@ -138,33 +138,33 @@
         submit(() -> engine.send(requestId, 1));
         unwrittenAttempts.add(startedAttempts.get(2));
         engine.clientDisconnected(requestId);
-        assertEquals(List.of("0 MOOT true", "gone"), policyEvents.subList(2, 4));
+        assertEquals(List.of("0 MOOT true", "disconnected"), policyEvents.subList(2, 4));
         assertEquals(0, engine.openRequestCount());
     }
 
-    /** The module went on holding a request that had its answer, and sent it later. */
+    /** If the policy is not told, it keeps a request that has its final answer and sends it later. */
     @Test void exceptionInEventEndsRequestForPolicyToo() {
         submit(() -> {
-            throw new IllegalStateException("seen in a test");
+            throw new IllegalStateException("thrown by the test");
         });
         assertEquals(List.of("failed false"), answers);
-        assertEquals(List.of("gone"), policyEvents);
+        assertEquals(List.of("disconnected"), policyEvents);
         assertEquals(0, engine.openRequestCount());
     }
 
-    /** Its client's connection had an exception: the outcome never reached the module, which waited for it. */
+    /** An exception in the client's connection must not keep the outcome from the policy, which would wait for it forever. */
     @Test void exceptionInListenerDoesNotHideOutcomeFromPolicy() {
-        ResponseListener breaks = new ResponseListener() {
+        ResponseListener failingListener = new ResponseListener() {
             @Override public void onServed(byte[] result) {
-                throw new IllegalStateException("seen in a test");
+                throw new IllegalStateException("thrown by the test");
             }
 
-            @Override public void onRefused(long comeBack) { }
+            @Override public void onRefused(long retryAfterMicros) { }
 
-            @Override public void onFailed(boolean late) { }
+            @Override public void onFailed(boolean timedOut) { }
         };
         onRequestReceived = () -> engine.send(requestId, 1);
-        engine.submit(breaks, "payload", 0, 0, 1, now + 10 * SECOND, true);
+        engine.submit(failingListener, "payload", 0, 0, 1, now + 10 * SECOND_MICROS, true);
         engine.attemptEnded(startedAttempts.get(0), Outcome.SERVED, bytes("r"), null);
         assertEquals(List.of("0 SERVED true"), policyEvents);
         assertEquals(1, metrics.get(Count.EXCEPTIONS));
@@ -207,7 +207,7 @@
     @Test void attemptTimesOutBeforeClientDeadline() {
         submit(() -> engine.send(requestId, 1));
         onAttemptEnded = () -> engine.fail(requestId);
-        now += 10 * SECOND - Engine.ATTEMPT_MARGIN_MICROS - 1;
+        now += 10 * SECOND_MICROS - Engine.ATTEMPT_MARGIN_MICROS - 1;
         deadlines.runDue();
         assertEquals(List.of(), policyEvents);
         now++;
@@ -219,21 +219,21 @@
 
     @Test void requestWithoutDecisionFailsBeforeClientDeadline() {
         submit(() -> { });
-        now += 10 * SECOND - Engine.ANSWER_MARGIN_MICROS;
+        now += 10 * SECOND_MICROS - Engine.ANSWER_MARGIN_MICROS;
         deadlines.runDue();
         assertEquals(List.of("failed true"), answers);
-        assertEquals(List.of("gone"), policyEvents);
+        assertEquals(List.of("disconnected"), policyEvents);
         engine.refuse(requestId, 0);
         assertEquals(1, answers.size());
     }
 
     @Test void exceptionInEventFailsOnlyItsRequest() {
         submit(() -> {
-            throw new IllegalStateException("seen in a test");
+            throw new IllegalStateException("thrown by the test");
         });
         assertEquals(List.of("failed false"), answers);
         submit(() -> engine.refuse(requestId, 7));
-        assertEquals(List.of("failed false", "synthetic 7"), answers);
+        assertEquals(List.of("failed false", "refused 7"), answers);
         assertEquals(1, metrics.get(Count.EXCEPTIONS));
     }
 
@@ -241,7 +241,7 @@
         submit(() -> engine.send(requestId, 1));
         engine.clientDisconnected(requestId);
         engine.attemptEnded(startedAttempts.get(0), Outcome.SERVED, bytes("r"), null);
-        assertEquals(List.of("gone", "0 SERVED true"), policyEvents);
+        assertEquals(List.of("disconnected", "0 SERVED true"), policyEvents);
         assertEquals(List.of(), answers);
     }
 
@@ -261,15 +261,15 @@
         Clock clock = new Clock();
         long before = clock.nowMicros();
         assertEquals(0, clock.fromUnixMillis(0));
-        assertEquals(System.currentTimeMillis() * 1000.0, clock.fromUnixMillis(System.currentTimeMillis()), SECOND);
-        assertEquals(clock.nowMicros(), clock.fromUnixMillis(System.currentTimeMillis()), SECOND);
+        assertEquals(System.currentTimeMillis() * 1000.0, clock.fromUnixMillis(System.currentTimeMillis()), SECOND_MICROS);
+        assertEquals(clock.nowMicros(), clock.fromUnixMillis(System.currentTimeMillis()), SECOND_MICROS);
         assertTrue(clock.nowMicros() >= before);
     }
 
     @Test void exceptionInDeadlineDoesNotStopLaterOnes() {
         deadlines.scheduleAfter(20, () -> policyEvents.add("b"));
         deadlines.scheduleAfter(10, () -> {
-            throw new IllegalStateException("seen in a test");
+            throw new IllegalStateException("thrown by the test");
         });
         Deadlines.Deadline cancelled = deadlines.scheduleAfter(15, () -> policyEvents.add("never"));
         deadlines.scheduleAfter(10, () -> policyEvents.add("a"));
@@ -280,7 +280,7 @@
         assertEquals(1, metrics.get(Count.EXCEPTIONS));
     }
 
-    /** A connection that waited to be let in: what its client has left is not known, and may not be told once more. */
+    /** If a connection waited to be accepted, its client's remaining time is unknown and must not be given to a second backend. */
     @Test void requestWithUnknownDeadlineHasOneAttempt() {
         isDeadlineKnown = false;
         onAttemptEnded = () -> {
@@ -290,7 +290,7 @@
         };
         submit(() -> engine.send(requestId, 1));
         engine.attemptEnded(startedAttempts.get(0), Outcome.REJECTED, null, null);
-        assertEquals(1, startedAttempts.size(), "the second one never begins");
+        assertEquals(1, startedAttempts.size(), "the second attempt never starts");
         assertTrue(policyEvents.get(policyEvents.size() - 1).contains("MOOT"), policyEvents.toString());
     }
 }
