--- a/src/main/java/badgermux/cordon/Cordons.java
+++ b/src/main/java/badgermux/cordon/Cordons.java
@@ -6,90 +6,91 @@
 import java.util.Map;
 
 /**
- * The runners that are cordoned, by discovery's ids, and when those came back that did. One that is out is seen as
- * draining, whatever the list says of it. Operators restart a runner while it is out: one that has come back counts as
- * started when the list says so, if that is since it was taken out, and as started at its return until then. Times are
- * microseconds on one clock, which the caller gives.
+ * The cordoned backends and the recent absences of others, by discovery's ids. A cordoned backend is shown as draining,
+ * whatever the list says. Operators restart a backend while it is cordoned: after its return it counts as started at the
+ * listed time if that is later than the cordon, and at its return until the list shows such a time. Times are microseconds
+ * on the caller's clock.
  */
 public final class Cordons {
-    /** When a runner was taken out, and when it came back. */
+    /** The times at which a backend was cordoned and at which it returned. */
     public record Absence(long cordonedAt, long returnedAt) { }
 
     private final Map<String, Long> cordoned = new HashMap<>();
     private final Map<String, Absence> absences = new HashMap<>();
     private final long warmUpMicros;
-    /** Runners that started after this are seen as draining. */
+    /** Backends that started after this time are shown as draining. */
     private long drainStartedAfter = Long.MAX_VALUE;
 
-    /** An empty set; a runner that came back longer ago than {@code coldFor} is as any other. */
-    public Cordons(long coldFor) {
-        this.warmUpMicros = coldFor;
+    /** Creates an empty set. Absences that ended more than {@code warmUpMicros} ago no longer matter. */
+    public Cordons(long warmUpMicros) {
+        this.warmUpMicros = warmUpMicros;
     }
 
-    /** Takes a runner out; one that is out already stays so, and one call puts it back. */
+    /** Cordons a backend. Repeated calls change nothing, and a single {@link #uncordon} ends the cordon. */
     public void cordon(String id, long at) {
         cordoned.putIfAbsent(id, at);
     }
 
-    /** Puts a runner back at a time; nothing happens to one that is not out. */
+    /** Ends the cordon of a backend; does nothing if it is not cordoned. */
     public void uncordon(String id, long at) {
-        Long from = cordoned.remove(id);
-        if (from != null) {
+        Long cordonedAt = cordoned.remove(id);
+        if (cordonedAt != null) {
             absences.values().removeIf(absence -> absence.returnedAt < at - warmUpMicros);
-            absences.put(id, new Absence(from, at));
+            absences.put(id, new Absence(cordonedAt, at));
         }
     }
 
-    /** A runner that came back before we knew of it. */
+    /** Adds an absence that ended before this process started. */
     public void recordAbsence(String id, Absence absence) {
         absences.put(id, absence);
     }
 
-    /** Whether a runner is out. */
     public boolean isCordoned(String id) {
         return cordoned.containsKey(id);
     }
 
-    /** When a runner was taken out; 0 for one that is not. */
+    /** Returns when a backend was cordoned; 0 if it is not. */
     public long cordonedSince(String id) {
         return cordoned.getOrDefault(id, 0L);
     }
 
-    /** All that are out, and since when. */
+    /** Returns the cordoned backends and the time at which each was cordoned. */
     public Map<String, Long> cordoned() {
         return Map.copyOf(cordoned);
     }
 
-    /** When runners were away, of those back that may still be cold. */
+    /** Returns the absences of backends that have returned and may still be cold. */
     public Map<String, Absence> absences() {
         return Map.copyOf(absences);
     }
 
-    /** Forgets all, and goes by what the process before this one held. */
-    public void replaceAll(Map<String, Long> nowOut, Map<String, Absence> cameBack) {
+    /** Replaces the contents by those of the previous process. */
+    public void replaceAll(Map<String, Long> newCordoned, Map<String, Absence> newAbsences) {
         cordoned.clear();
         absences.clear();
-        cordoned.putAll(nowOut);
-        absences.putAll(cameBack);
+        cordoned.putAll(newCordoned);
+        absences.putAll(newAbsences);
     }
 
     /**
-     * Has all runners that are cold at a time seen as draining: another process spends their budget from here on.
-     * {@link Long#MAX_VALUE} ends it.
+     * Shows all backends that are cold at a time as draining, because another process uses their warm-up budget from then on.
+     * {@link Long#MAX_VALUE} ends this.
      */
     public void drainCold(long now) {
         drainStartedAfter = now == Long.MAX_VALUE ? now : now - warmUpMicros;
     }
 
-    /** A runner of the list as the module is to see it. */
+    /** Returns a listed backend with its cordon or its last absence applied, as the dispatch policy is to see it. */
     public DispatchPolicy.Backend applyTo(String id, DispatchPolicy.Backend listed) {
         Absence absence = absences.get(id);
-        long started = absence == null || listed.startedAtMicros() > absence.cordonedAt ? listed.startedAtMicros() : absence.returnedAt;
-        boolean banned = (cordoned.containsKey(id) || started > drainStartedAfter) && listed.state() == BackendState.READY;
-        if (!banned && started == listed.startedAtMicros()) {
+        long startedAtMicros = absence == null || listed.startedAtMicros() > absence.cordonedAt ? listed.startedAtMicros()
+            : absence.returnedAt;
+        boolean shownAsDraining = (cordoned.containsKey(id) || startedAtMicros > drainStartedAfter)
+            && listed.state() == BackendState.READY;
+        if (!shownAsDraining && startedAtMicros == listed.startedAtMicros()) {
             return listed;
         }
         return new DispatchPolicy.Backend(listed.id(), listed.zone(), listed.kind(), listed.cell(),
-            banned ? BackendState.DRAINING : listed.state(), started);
+            shownAsDraining ? BackendState.DRAINING : listed.state(), startedAtMicros);
     }
 }
--- a/src/main/java/badgermux/cordon/package-info.java
+++ b/src/main/java/badgermux/cordon/package-info.java
@@ -1,2 +1,2 @@
-/** The runners that operators have taken cordoned: a pure set that the list passes through. */
+/** The set of backends that operators have cordoned, which is applied to every backend list. It does no I/O. */
 package badgermux.cordon;
--- a/src/test/java/badgermux/cordon/CordonsTest.java
+++ b/src/test/java/badgermux/cordon/CordonsTest.java
@@ -17,8 +17,8 @@
 class CordonsTest {
     private static final long WARM_UP_MICROS = 100;
 
-    private static Backend listed(BackendState state, long startedAt) {
-        return new Backend(1, 0, 0, 0, state, startedAt);
+    private static Backend listed(BackendState state, long startedAtMicros) {
+        return new Backend(1, 0, 0, 0, state, startedAtMicros);
     }
 
     @Test void cordonedBackendDrainsAndReturnedBackendIsCold() {
@@ -32,33 +32,39 @@
         cordons.uncordon("a", 50);
         assertEquals(listed(BackendState.READY, 50), cordons.applyTo("a", ready));
         assertEquals(60, cordons.applyTo("a", listed(BackendState.READY, 60)).startedAtMicros());
-        assertEquals(21, cordons.applyTo("a", listed(BackendState.READY, 21)).startedAtMicros(), "restarted while it was out");
-        assertEquals(50, cordons.applyTo("a", listed(BackendState.READY, 20)).startedAtMicros(), "the list is late");
+        assertEquals(21, cordons.applyTo("a", listed(BackendState.READY, 21)).startedAtMicros(), "restarted while cordoned");
+        assertEquals(50, cordons.applyTo("a", listed(BackendState.READY, 20)).startedAtMicros(),
+            "the list does not show the restart yet");
         cordons.uncordon("a", 90);
-        assertEquals(50, cordons.applyTo("a", ready).startedAtMicros(), "it was not out");
+        assertEquals(50, cordons.applyTo("a", ready).startedAtMicros(),
+            "uncordoning a backend that is not cordoned changes nothing");
     }
 
-    /** Whatever comes: a set and not a count; nobody is READY while out; the last return is the start. */
+    /**
+     * For any order of calls: one uncordon undoes any number of cordons, a cordoned backend is never READY, and a returned
+     * backend counts as started at its last return.
+     */
     @Property void repeatedCordonNeedsOneUncordon(@ForAll @Size(max = 40) List<@IntRange(min = 0, max = 11) Integer> calls) {
         Cordons cordons = new Cordons(WARM_UP_MICROS);
-        Map<Integer, Boolean> out = new HashMap<>();
-        Map<Integer, Long> back = new HashMap<>();
+        Map<Integer, Boolean> expectedCordoned = new HashMap<>();
+        Map<Integer, Long> expectedStart = new HashMap<>();
         for (int i = 0; i < calls.size(); i++) {
             int id = calls.get(i) % 4;
             if (calls.get(i) < 6) {
-                cordons.cordon("r" + id, i + 1);
-                out.put(id, true);
+                cordons.cordon("b" + id, i + 1);
+                expectedCordoned.put(id, true);
             } else {
-                cordons.uncordon("r" + id, i + 1);
-                if (out.getOrDefault(id, false)) {
-                    back.put(id, i + 1L);
+                cordons.uncordon("b" + id, i + 1);
+                if (expectedCordoned.getOrDefault(id, false)) {
+                    expectedStart.put(id, i + 1L);
                 }
-                out.put(id, false);
+                expectedCordoned.put(id, false);
             }
-            for (int r = 0; r < 4; r++) {
-                Backend seen = cordons.applyTo("r" + r, listed(BackendState.READY, 0));
-                assertEquals(out.getOrDefault(r, false) ? BackendState.DRAINING : BackendState.READY, seen.state());
-                assertEquals(back.getOrDefault(r, 0L), seen.startedAtMicros());
+            for (int b = 0; b < 4; b++) {
+                Backend result = cordons.applyTo("b" + b, listed(BackendState.READY, 0));
+                assertEquals(expectedCordoned.getOrDefault(b, false) ? BackendState.DRAINING : BackendState.READY,
+                    result.state());
+                assertEquals(expectedStart.getOrDefault(b, 0L), result.startedAtMicros());
             }
         }
     }
