--- a/src/main/java/badgermux/sim/FrameCodec.java
+++ b/src/main/java/badgermux/sim/FrameCodec.java
@@ -8,12 +8,19 @@
 import java.nio.ByteOrder;
 import java.nio.charset.StandardCharsets;
 
-/** Reads batches and writes replies: little-endian frames whose headers state their whole length. */
+/**
+ * Reads batches of records and writes replies. Both are little-endian frames whose header contains the length of the whole
+ * frame.
+ */
 final class FrameCodec {
     private static final int BATCH_HEADER_BYTES = 16;
     private static final int REPLY_HEADER_BYTES = 4;
-    /** No batch comes near this; a larger figure is a broken header, not a reason to ask for the memory. */
+    /** A longer batch indicates a corrupt header and is rejected before memory is allocated for it. */
     private static final int MAX_BATCH_BYTES = 1 << 30;
+    /** The space that each action's record may use; the reply buffer grows when less is left. */
+    private static final int MAX_ACTION_BYTES = 1024;
+    /** The longest text in an action's record, which leaves space for its other fields. */
+    private static final int MAX_TEXT_BYTES = 500;
 
     private final InputStream in;
     private final OutputStream out;
@@ -31,49 +38,57 @@
         return ByteBuffer.allocate(size).order(ByteOrder.LITTLE_ENDIAN);
     }
 
-    /** Takes in the next batch; false at the end of input. */
+    /**
+     * Reads the next batch and starts its reply.
+     *
+     * @return false at the end of input
+     * @throws EOFException if the input ends inside a batch
+     */
     boolean readBatch() throws IOException {
         batch.clear();
-        int got = in.readNBytes(batch.array(), 0, BATCH_HEADER_BYTES);
-        if (got == 0) {
+        int headerBytes = in.readNBytes(batch.array(), 0, BATCH_HEADER_BYTES);
+        if (headerBytes == 0) {
             return false;
         }
-        if (got < BATCH_HEADER_BYTES) {
+        if (headerBytes < BATCH_HEADER_BYTES) {
             throw new EOFException("input ends inside a batch header");
         }
         clockMillis = batch.getDouble();
         int length = batch.getInt();
         recordCount = batch.getInt();
         if (length < BATCH_HEADER_BYTES || length > MAX_BATCH_BYTES || recordCount < 0 || !Double.isFinite(clockMillis)) {
-            throw new MalformedInputException("batch header states length " + length + " and " + recordCount + " records");
+            throw new MalformedInputException("invalid batch header: length " + length + ", " + recordCount + " records");
         }
-        int body = length - BATCH_HEADER_BYTES;
-        if (batch.capacity() < body) {
-            batch = allocateBuffer(Math.max(body, 2 * batch.capacity()));
+        int bodyBytes = length - BATCH_HEADER_BYTES;
+        if (batch.capacity() < bodyBytes) {
+            batch = allocateBuffer(Math.max(bodyBytes, 2 * batch.capacity()));
         }
-        if (in.readNBytes(batch.array(), 0, body) < body) {
+        if (in.readNBytes(batch.array(), 0, bodyBytes) < bodyBytes) {
             throw new EOFException("input ends inside a batch of " + length + " bytes");
         }
-        batch.position(0).limit(body);
+        batch.position(0).limit(bodyBytes);
         reply.clear().position(REPLY_HEADER_BYTES);
         return true;
     }
 
+    /** Returns the simulator's time of the current batch. */
     double clockMillis() {
         return clockMillis;
     }
 
+    /** Returns the number of records in the current batch. */
     int recordCount() {
         return recordCount;
     }
 
-    /** Refuses a batch that holds more bytes than its records. */
+    /** Rejects a batch that has more bytes than its records. */
     void requireEndOfBatch() {
         if (batch.hasRemaining()) {
             throw new MalformedInputException(batch.remaining() + " bytes follow the last record of a batch");
         }
     }
 
+    /** Writes the reply to the current batch and flushes the output. */
     void writeReply() throws IOException {
         reply.putInt(0, reply.position());
         out.write(reply.array(), 0, reply.position());
@@ -112,13 +127,14 @@
         return batch.getDouble();
     }
 
-    /** Four bytes of address and a port, kept as one number that sorts as they do. */
+    /** Reads an IPv4 address and a port as one number that sorts in the same order. */
     long readBackend() {
         requireRemaining(6);
         long address = Integer.reverseBytes(batch.getInt()) & 0xffffffffL;
         return address << 16 | batch.getShort() & 0xffff;
     }
 
+    /** Reads a UTF-8 text with a 32-bit length. */
     String readText() {
         int length = readU32();
         requireRemaining(length);
@@ -134,15 +150,16 @@
 
     private void requireRemaining(int bytes) {
         if (bytes < 0 || batch.remaining() < bytes) {
-            throw new MalformedInputException("a record ends early: " + bytes + " bytes wanted, " + batch.remaining() + " left");
+            throw new MalformedInputException("record is truncated: " + bytes + " bytes expected, " + batch.remaining()
+                + " remaining");
         }
     }
 
     // ---- Fields written
 
-    /** Starts an action's record. */
+    /** Starts the record of an action; its fields follow. */
     FrameCodec beginAction(int code, int instance) {
-        if (reply.remaining() < 1024) {
+        if (reply.remaining() < MAX_ACTION_BYTES) {
             reply = allocateBuffer(2 * reply.capacity()).put(reply.flip());
         }
         reply.put((byte) code).putInt(instance);
@@ -174,15 +191,16 @@
         return this;
     }
 
-    FrameCodec putBackend(long runner) {
-        reply.putInt(Integer.reverseBytes((int) (runner >>> 16))).putShort((short) runner);
+    /** Writes a backend's address and port as {@link #readBackend} returned them. */
+    FrameCodec putBackend(long backendId) {
+        reply.putInt(Integer.reverseBytes((int) (backendId >>> 16))).putShort((short) backendId);
         return this;
     }
 
-    /** A text of at most 500 bytes, so that it fits the room that every record has. */
+    /** Writes a UTF-8 text with a 16-bit length, cut to {@link #MAX_TEXT_BYTES}. */
     FrameCodec putText(String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-        int length = Math.min(500, bytes.length);
+        int length = Math.min(MAX_TEXT_BYTES, bytes.length);
         reply.putShort((short) length).put(bytes, 0, length);
         return this;
     }
--- a/src/main/java/badgermux/sim/Main.java
+++ b/src/main/java/badgermux/sim/Main.java
@@ -8,11 +8,11 @@
 import java.io.OutputStream;
 import java.io.PrintStream;
 
-/** The {@code sim} command: the module on the simulator's wire, on standard input and output. */
+/** The {@code sim} command: runs dispatch policies for the simulator over standard input and output. */
 public final class Main {
     private Main() { }
 
-    /** Runs until the input ends; bad input is told in one line on standard error and a non-zero exit. */
+    /** Runs until the input ends. Malformed input causes a one-line message on standard error and a non-zero exit status. */
     public static void main(String[] args) {
         int status = run(new BufferedInputStream(System.in, 1 << 16),
             new FileOutputStream(FileDescriptor.out), System.err);
@@ -21,6 +21,7 @@
         }
     }
 
+    /** Runs until the input ends and returns the exit status. */
     static int run(InputStream in, OutputStream out, PrintStream err) {
         try {
             new SimulatorAdapter(in, out).run();
--- a/src/main/java/badgermux/sim/MalformedInputException.java
+++ b/src/main/java/badgermux/sim/MalformedInputException.java
@@ -1,6 +1,6 @@
 package badgermux.sim;
 
-/** Input that does not follow the wire's page; the message says where. */
+/** Thrown when the input violates the simulator protocol; the message says where. */
 final class MalformedInputException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/badgermux/sim/SimulatorAdapter.java
+++ b/src/main/java/badgermux/sim/SimulatorAdapter.java
@@ -1,8 +1,8 @@
 package badgermux.sim;
 
 import badgermux.config.SettingsParser;
-import badgermux.decide.DispatchPolicy;
 import badgermux.decide.DefaultDispatchPolicy;
+import badgermux.decide.DispatchPolicy;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.OutputStream;
@@ -12,23 +12,34 @@
 import java.util.List;
 import java.util.Map;
 
-/** Speaks the simulator's wire for many dispatchers that share nothing. It translates and decides nothing. */
+/**
+ * Connects many independent dispatch policies to the simulator. It only translates between the simulator's records and the
+ * policies' events and actions.
+ */
 final class SimulatorAdapter {
-    private static final DispatchPolicy.ListUpdate[] LIST_UPDATES = {DispatchPolicy.ListUpdate.DELTA, DispatchPolicy.ListUpdate.FULL,
-        DispatchPolicy.ListUpdate.CACHED, DispatchPolicy.ListUpdate.FAILED};
-    private static final DispatchPolicy.BackendState[] BACKEND_STATES = {DispatchPolicy.BackendState.GONE, DispatchPolicy.BackendState.READY,
-        DispatchPolicy.BackendState.DRAINING};
+    /** The kinds of list updates, by their codes. */
+    private static final DispatchPolicy.ListUpdate[] LIST_UPDATES = {DispatchPolicy.ListUpdate.DELTA,
+        DispatchPolicy.ListUpdate.FULL, DispatchPolicy.ListUpdate.CACHED, DispatchPolicy.ListUpdate.FAILED};
+    /** The states of a listed backend, by their codes. */
+    private static final DispatchPolicy.BackendState[] BACKEND_STATES = {DispatchPolicy.BackendState.GONE,
+        DispatchPolicy.BackendState.READY, DispatchPolicy.BackendState.DRAINING};
+    /** The outcomes of attempts and probes, by their codes less one. */
     private static final DispatchPolicy.Outcome[] OUTCOMES = Arrays.copyOf(DispatchPolicy.Outcome.values(), 8);
 
     private final FrameCodec frames;
     private final Map<Integer, Instance> instances = new HashMap<>();
+    /** The simulator's time in microseconds. */
     private long now;
 
     SimulatorAdapter(InputStream in, OutputStream out) {
         frames = new FrameCodec(in, out);
     }
 
-    /** Answers every batch until the input ends. */
+    /**
+     * Replies to each batch until the input ends.
+     *
+     * @throws MalformedInputException if the input violates the protocol
+     */
     void run() throws IOException {
         while (frames.readBatch()) {
             now = toMicros(frames.clockMillis());
@@ -63,6 +74,7 @@
         }
     }
 
+    /** Returns a running instance. */
     private Instance instance(int id) {
         Instance instance = instances.get(id);
         if (instance == null) {
@@ -73,123 +85,128 @@
 
     private void createInstance(int id) {
         long seed = frames.readU64();
-        SettingsParser.ParsedSettings boot = SettingsParser.parse(frames.readText());
-        instances.put(id, new Instance(id, seed, boot));
+        SettingsParser.ParsedSettings settings = SettingsParser.parse(frames.readText());
+        instances.put(id, new Instance(id, seed, settings));
     }
 
-    private void handleBackendList(Instance to) {
-        DispatchPolicy.ListUpdate mode = LIST_UPDATES[requireIndex(frames.readU8(), LIST_UPDATES.length, "list mode")];
+    private void handleBackendList(Instance instance) {
+        DispatchPolicy.ListUpdate update = LIST_UPDATES[requireIndex(frames.readU8(), LIST_UPDATES.length,
+            "list update code")];
         frames.readU32();
         int count = frames.readU32();
-        List<DispatchPolicy.Backend> workers = new ArrayList<>();
+        List<DispatchPolicy.Backend> backends = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             long id = frames.readBackend();
             int zone = frames.readU8();
-            int kind = requireIndex(frames.readU16(), to.settings.settings().kindCount, "machine kind");
+            int kind = requireIndex(frames.readU16(), instance.settings.settings().kindCount, "machine kind");
             int cell = frames.readU16();
-            DispatchPolicy.BackendState state = BACKEND_STATES[requireIndex(frames.readU8(), BACKEND_STATES.length, "condition")];
+            DispatchPolicy.BackendState state = BACKEND_STATES[requireIndex(frames.readU8(), BACKEND_STATES.length,
+                "backend state code")];
             frames.readF32();
-            workers.add(new DispatchPolicy.Backend(id, zone, kind, cell, state, toMicros(frames.readF64())));
+            backends.add(new DispatchPolicy.Backend(id, zone, kind, cell, state, toMicros(frames.readF64())));
         }
-        to.runEvent(() -> to.policy.backendsListed(now, mode, workers));
+        instance.runEvent(() -> instance.policy.backendsListed(now, update, backends));
     }
 
-    private void handleRequest(Instance to) {
+    private void handleRequest(Instance instance) {
         long id = frames.readU64();
         int tenant = frames.readU16();
-        double hintMs = frames.readF64();
-        int profile = requireIndex(frames.readU16(), to.settings.settings().classes.size(), "class");
+        double expectedWorkMillis = frames.readF64();
+        int classIndex = requireIndex(frames.readU16(), instance.settings.settings().classes.size(), "request class");
         frames.readF32();
         frames.readU64();
         double slots = frames.readF32();
-        boolean hinted = (frames.readU16() & 1) != 0;
-        DispatchPolicy.Request job = new DispatchPolicy.Request(id, profile, tenant, slots, hinted ? Math.max(0, toMicros(hintMs)) : 0,
+        boolean isWorkKnown = (frames.readU16() & 1) != 0;
+        DispatchPolicy.Request request = new DispatchPolicy.Request(id, classIndex, tenant, slots,
+            isWorkKnown ? Math.max(0, toMicros(expectedWorkMillis)) : 0,
             Math.max(0, toMicros(frames.readF64())));
-        to.runEvent(() -> to.policy.requestReceived(now, job));
+        instance.runEvent(() -> instance.policy.requestReceived(now, request));
     }
 
-    private void handleStreamStart(Instance to) {
+    private void handleStreamStart(Instance instance) {
         long id = frames.readU64();
         frames.readBackend();
-        int shot = frames.readU16();
+        int attempt = frames.readU16();
         frames.readF64();
-        to.runEvent(() -> to.policy.responseStreaming(now, id, shot));
+        instance.runEvent(() -> instance.policy.responseStreaming(now, id, attempt));
     }
 
-    private void handleAttemptEnd(Instance to) {
+    private void handleAttemptEnd(Instance instance) {
         long id = frames.readU64();
         frames.readF64();
-        DispatchPolicy.Outcome outcome = OUTCOMES[requireIndex(frames.readU8() - 1, OUTCOMES.length, "verdict")];
-        int shot = frames.readU16();
-        long runner = frames.readBackend();
+        DispatchPolicy.Outcome outcome = OUTCOMES[requireIndex(frames.readU8() - 1, OUTCOMES.length, "outcome")];
+        int attempt = frames.readU16();
+        long backendId = frames.readBackend();
         frames.readU32();
-        boolean settled = frames.readU8() != 0;
-        DispatchPolicy.LoadReport report = to.readLoadReport(frames);
-        to.runEvent(() -> to.policy.attemptEnded(now, id, shot, runner, outcome, settled, report));
+        boolean isClosed = frames.readU8() != 0;
+        DispatchPolicy.LoadReport report = instance.readLoadReport(frames);
+        instance.runEvent(() -> instance.policy.attemptEnded(now, id, attempt, backendId, outcome, isClosed, report));
     }
 
-    private void handleClientGone(Instance to) {
+    private void handleClientGone(Instance instance) {
         long id = frames.readU64();
-        to.runEvent(() -> to.policy.clientDisconnected(now, id));
+        instance.runEvent(() -> instance.policy.clientDisconnected(now, id));
     }
 
-    private void handleTimer(Instance to) {
-        int label = frames.readU32();
-        to.runEvent(() -> to.policy.timerFired(now, label));
+    private void handleTimer(Instance instance) {
+        int token = frames.readU32();
+        instance.runEvent(() -> instance.policy.timerFired(now, token));
     }
 
-    private void handleProbeAnswer(Instance to) {
-        long runner = frames.readBackend();
-        int verdict = requireIndex(frames.readU8() - 1, OUTCOMES.length, "verdict");
+    private void handleProbeAnswer(Instance instance) {
+        long backendId = frames.readBackend();
+        int outcomeIndex = requireIndex(frames.readU8() - 1, OUTCOMES.length, "outcome");
         frames.readF64();
-        DispatchPolicy.LoadReport report = to.readLoadReport(frames);
-        to.runEvent(() -> to.policy.probeEnded(now, runner, verdict == 0, report));
+        DispatchPolicy.LoadReport report = instance.readLoadReport(frames);
+        instance.runEvent(() -> instance.policy.probeEnded(now, backendId, outcomeIndex == 0, report));
     }
 
-    /** This dispatcher sends its peers nothing; what comes from others is skipped. */
+    /** Skips a message from another dispatcher: the policies exchange none. */
     private void skipPeerMessage() {
         frames.readU32();
         frames.skip(frames.readU16());
     }
 
-    private void handleNotice(Instance to) {
+    /** Handles a report of a running attempt: its start or its progress; other kinds are ignored. */
+    private void handleNotice(Instance instance) {
         long id = frames.readU64();
         int kind = frames.readU8();
         frames.readF32();
-        int shot = frames.readU16();
+        int attempt = frames.readU16();
         frames.readBackend();
         if (kind == 1) {
-            to.runEvent(() -> to.policy.attemptStarted(now, id, shot));
+            instance.runEvent(() -> instance.policy.attemptStarted(now, id, attempt));
         } else if (kind == 2) {
-            to.runEvent(() -> to.policy.attemptProgressed(now, id, shot));
+            instance.runEvent(() -> instance.policy.attemptProgressed(now, id, attempt));
         }
     }
 
-    private static int requireIndex(int value, int size, String what) {
+    /** Returns a value that must be less than {@code size}; {@code field} names it in the message otherwise. */
+    private static int requireIndex(int value, int size, String field) {
         if (value < 0 || value >= size) {
-            throw new MalformedInputException("unknown " + what + ' ' + value);
+            throw new MalformedInputException("unknown " + field + ' ' + value);
         }
         return value;
     }
 
-    private static long toMicros(double ms) {
-        return Math.round(ms * 1000);
+    private static long toMicros(double millis) {
+        return Math.round(millis * 1000);
     }
 
-    /** One dispatcher and the actions that it writes. */
+    /** One policy; its actions are written to the current reply. */
     private final class Instance implements DispatchPolicy.Actions {
         private final int id;
         private final SettingsParser.ParsedSettings settings;
         private final DefaultDispatchPolicy policy;
         private final DispatchPolicy.LoadReport report = new DispatchPolicy.LoadReport();
 
-        Instance(int id, long seed, SettingsParser.ParsedSettings boot) {
+        Instance(int id, long seed, SettingsParser.ParsedSettings settings) {
             this.id = id;
-            this.settings = boot;
-            policy = new DefaultDispatchPolicy(boot.settings(), seed, this);
+            this.settings = settings;
+            policy = new DefaultDispatchPolicy(settings.settings(), seed, this);
         }
 
-        /** Runs one event; a fault of the module is told as such, with its cause. */
+        /** Runs one event; an exception of the policy is written as a record with the place where it was thrown. */
         void runEvent(Runnable event) {
             try {
                 event.run();
@@ -199,11 +216,11 @@
             }
         }
 
-        /** A load report, or null where none came along. */
+        /** Reads a load report, which is valid until the next call; null if the record contains none. */
         DispatchPolicy.LoadReport readLoadReport(FrameCodec in) {
-            int n = in.readU8();
+            int count = in.readU8();
             report.freeSlots = report.inFlight = report.queued = report.recentRunMicros = Double.NaN;
-            for (int i = 0; i < n; i++) {
+            for (int i = 0; i < count; i++) {
                 double value = in.readF32();
                 switch (i < settings.reportColumns().length ? settings.reportColumns()[i] : "") {
                     case "x0" -> report.freeSlots = value;
@@ -213,35 +230,35 @@
                     default -> { }
                 }
             }
-            return n == 0 ? null : report;
+            return count == 0 ? null : report;
         }
 
-        @Override public void send(long job, long worker) {
-            frames.beginAction(1, id).putU64(job).putBackend(worker).putF64(0);
+        @Override public void send(long requestId, long backendId) {
+            frames.beginAction(1, id).putU64(requestId).putBackend(backendId).putF64(0);
         }
 
-        @Override public void refuse(long job, long comeBack) {
-            frames.beginAction(2, id).putU64(job).putF64(comeBack / 1000.0);
+        @Override public void refuse(long requestId, long retryAfterMicros) {
+            frames.beginAction(2, id).putU64(requestId).putF64(retryAfterMicros / 1000.0);
         }
 
-        @Override public void fail(long job) {
-            frames.beginAction(3, id).putU64(job);
+        @Override public void fail(long requestId) {
+            frames.beginAction(3, id).putU64(requestId);
         }
 
-        @Override public void cancel(long job, int attempt) {
-            frames.beginAction(4, id).putU64(job).putU16(attempt);
+        @Override public void cancel(long requestId, int attempt) {
+            frames.beginAction(4, id).putU64(requestId).putU16(attempt);
         }
 
-        @Override public void startTimer(long delay, int token) {
-            frames.beginAction(5, id).putF64(delay / 1000.0).putU32(token);
+        @Override public void startTimer(long delayMicros, int token) {
+            frames.beginAction(5, id).putF64(delayMicros / 1000.0).putU32(token);
         }
 
-        @Override public void probe(long worker) {
-            frames.beginAction(6, id).putBackend(worker);
+        @Override public void probe(long backendId) {
+            frames.beginAction(6, id).putBackend(backendId);
         }
 
-        @Override public void closeIdleConnections(long worker) {
-            frames.beginAction(7, id).putBackend(worker);
+        @Override public void closeIdleConnections(long backendId) {
+            frames.beginAction(7, id).putBackend(backendId);
         }
 
         @Override public void watchBackendList() {
--- a/src/main/java/badgermux/sim/package-info.java
+++ b/src/main/java/badgermux/sim/package-info.java
@@ -1,2 +1,2 @@
-/** The adapter that puts the decisions on the simulator's wire. */
+/** The adapter that connects dispatch policies to the simulator protocol. */
 package badgermux.sim;
--- a/src/test/java/badgermux/core/EngineTest.java
+++ b/src/test/java/badgermux/core/EngineTest.java
@@ -280,7 +280,7 @@
         assertEquals(1, metrics.get(Count.EXCEPTIONS));
     }
 
-    /** If a connection waited to be accepted, its client's remaining time is unknown and must not be given to a second backend. */
+    /** If a connection waited to be accepted, its client's remaining time is unknown; no second backend may be told it. */
     @Test void requestWithUnknownDeadlineHasOneAttempt() {
         isDeadlineKnown = false;
         onAttemptEnded = () -> {
