--- a/src/main/java/badgermux/metrics/Metrics.java
+++ b/src/main/java/badgermux/metrics/Metrics.java
@@ -8,9 +8,9 @@
 import java.util.Map;
 import java.util.function.LongSupplier;
 
-/** Counts of what is taken in, sent and answered, and levels of what is at hand. Only the event loop uses them. */
+/** Counters and gauges, in two text formats. Not thread-safe: only the event loop uses them. */
 public final class Metrics {
-    /** What is counted. */
+    /** The counters. Each is published under its own name in lower case. */
     public enum Count {
         CLIENT_CONNECTIONS, CLIENT_CONNECTIONS_EVICTED, CLIENT_CONNECTIONS_OVER_CAP,
         CLIENT_CONNECTIONS_SILENT, BODIES_OVER_CAP, BAD_MESSAGES, IDS_IN_USE,
@@ -26,16 +26,17 @@
         ADMIN_CALLS, ADMIN_CALLS_REFUSED, CONSOLE_CALLS, CONSOLE_CALLS_REFUSED, CONSOLE_CALLERS_SILENT,
         CONSOLE_CALLERS_EVICTED;
 
+        /** The name under which the counter is published. */
         final String label = name().toLowerCase(Locale.ROOT);
     }
 
-    /** How a job ends; each is counted for its class. */
+    /** The kinds of final answers, counted by request class. */
     public enum Ending {
-        /** Served: the client got the result of a backend. */
+        /** The client got the response of a backend. */
         ANSWERED("answers_served"),
-        /** A synthetic answer. */
+        /** The request was refused with advice on when to retry. */
         DEFERRED("answers_synthetic"),
-        /** Failed. */
+        /** The request failed. */
         ERRORED("answers_failed");
 
         private final String label;
@@ -45,50 +46,54 @@
         }
     }
 
+    /** The prefix of all names in {@link #dump}. */
     private static final String DUMP_PREFIX = "svc.";
 
     private final List<String> classNames;
+    /** By ending and request class. */
     private final long[][] endingCounts;
     private final Map<Count, Long> counts = new EnumMap<>(Count.class);
     private final Map<String, LongSupplier> textGauges = new LinkedHashMap<>();
     private final Map<String, LongSupplier> dumpGauges = new LinkedHashMap<>();
 
-    /** Counts jobs of these classes, which are named by their place here from then on. */
-    public Metrics(List<String> classes) {
-        this.classNames = classes.stream().map(name -> name.replaceAll("[^A-Za-z0-9_-]", "_")).toList();
-        endingCounts = new long[Ending.values().length][classes.size()];
+    /** Creates metrics for the request classes with these names; other methods refer to a class by its index here. */
+    public Metrics(List<String> requestClasses) {
+        this.classNames = requestClasses.stream().map(name -> name.replaceAll("[^A-Za-z0-9_-]", "_")).toList();
+        endingCounts = new long[Ending.values().length][requestClasses.size()];
     }
 
+    /** Increments a counter by one. */
     public void increment(Count count) {
         counts.merge(count, 1L, Long::sum);
     }
 
-    /** A job of a class has had its final answer. */
-    public void recordEnding(Ending ending, int jobClass) {
-        endingCounts[ending.ordinal()][jobClass]++;
+    /** Counts the final answer to a request of a class. */
+    public void recordEnding(Ending ending, int requestClass) {
+        endingCounts[ending.ordinal()][requestClass]++;
     }
 
+    /** Returns the value of a counter. */
     public long get(Count count) {
         return counts.getOrDefault(count, 0L);
     }
 
-    /** How many jobs of all classes have ended so. */
+    /** Returns the number of final answers of a kind, over all request classes. */
     public long get(Ending ending) {
         return Arrays.stream(endingCounts[ending.ordinal()]).sum();
     }
 
-    /** Has a level shown with the counts; it is read when they are asked for. */
-    public void registerGauge(String name, LongSupplier level) {
-        textGauges.put(name, level);
+    /** Adds a gauge to {@link #text}; its value is read with each call. */
+    public void registerGauge(String name, LongSupplier value) {
+        textGauges.put(name, value);
     }
 
-    /** Has a level shown in {@link #dump}, and in {@link #text} too. */
-    public void registerDumpGauge(String name, LongSupplier level) {
-        dumpGauges.put(name, level);
-        registerGauge(name, level);
+    /** Adds a gauge to both {@link #dump} and {@link #text}. */
+    public void registerDumpGauge(String name, LongSupplier value) {
+        dumpGauges.put(name, value);
+        registerGauge(name, value);
     }
 
-    /** One {@code name value} line for each count and level. */
+    /** Returns all metrics, one line of the form {@code name value} each. */
     public String text() {
         StringBuilder text = new StringBuilder();
         for (Count count : Count.values()) {
@@ -100,7 +105,7 @@
                 appendLine(text, ending.label + "{class=\"" + classNames.get(c) + "\"}", endingCounts[ending.ordinal()][c]);
             }
         }
-        textGauges.forEach((name, level) -> appendLine(text, name, level.getAsLong()));
+        textGauges.forEach((name, value) -> appendLine(text, name, value.getAsLong()));
         return text.toString();
     }
 
@@ -108,7 +113,10 @@
         text.append("badgermux_").append(name).append(' ').append(value).append('\n');
     }
 
-    /** The operators' figures, in lines of the form {@code name:value|c}, or {@code |g} for a level. */
+    /**
+     * Returns the metrics that operators read on the console, in StatsD lines of the form {@code name:value|c} for a counter
+     * and {@code name:value|g} for a gauge.
+     */
     public String dump() {
         StringBuilder text = new StringBuilder();
         for (int c = 0; c < classNames.size(); c++) {
@@ -119,8 +127,8 @@
             }
         }
         text.append(DUMP_PREFIX).append("sends:").append(get(Count.FETCHES_WRITTEN)).append("|c\n");
-        dumpGauges.forEach((name, level) ->
-            text.append(DUMP_PREFIX).append(name).append(':').append(level.getAsLong()).append("|g\n"));
+        dumpGauges.forEach((name, value) ->
+            text.append(DUMP_PREFIX).append(name).append(':').append(value.getAsLong()).append("|g\n"));
         return text.toString();
     }
 }
--- a/src/main/java/badgermux/metrics/package-info.java
+++ b/src/main/java/badgermux/metrics/package-info.java
@@ -1,2 +1,2 @@
-/** Counters. */
+/** Counters and gauges. */
 package badgermux.metrics;
