--- a/src/main/java/badgermux/zone/ZonePolicy.java
+++ b/src/main/java/badgermux/zone/ZonePolicy.java
@@ -91,9 +91,12 @@
     private final Map<Long, List<SentAttempt>> attemptsByRequest = new HashMap<>();
     private final ArrayDeque<AbandonedAttempt> abandonedAttempts = new ArrayDeque<>();
     private final ArrayDeque<String> pendingLogLines = new ArrayDeque<>();
+    /** The time of the first list update. */
     private long firstListAt = ZoneBackend.NEVER;
+    /** The time of the last periodic check; 0 before the first. */
     private long lastRoundAt;
     private int listUpdateCount;
+    /** The number of full lists to which backends were added back. */
     private long correctedListCount;
 
     /**
@@ -183,6 +186,7 @@
         return Math.max(1, settings.returnStageShares[zone.returnStage] * usual * RETURN_LIMIT_FACTOR);
     }
 
+    /** Whether a request may spill to a backend: both the zone's spill bound and the backend must have room for it. */
     private boolean maySpill(Zone zone, Request request, ZoneBackend member, double load) {
         if (zone.health == ZoneHealth.DARK || zone.health == ZoneHealth.RETURNING) {
             return false;
@@ -220,8 +224,8 @@
     }
 
     /**
-     * Whether a backend has responded since its zone was last lost, or since this dispatcher started. Until it has, only the
-     * list says that it exists.
+     * Whether a backend has responded since its zone was last lost or, without a loss, since this dispatcher started; until it
+     * has, only the list says that it exists. Without a loss, all backends count as known after the learning time.
      */
     private boolean isKnown(long now, ZoneBackend member) {
         return zones[member.zone].lastLostAt != ZoneBackend.NEVER ? member.recoveredAt >= zones[member.zone].lastLostAt
@@ -256,6 +260,7 @@
         return true;
     }
 
+    /** Whether the spill bound, less the reserve for classes of higher worth, and the spill credit allow another request. */
     private boolean hasSpillRoom(Zone zone, Request request) {
         double reserve = request.classIndex() < spillReserves.length ? spillReserves[request.classIndex()] : 0;
         return zone.spilledSlots < spillBound(zone) * (1 - reserve) && zone.spillCredit > 0;
@@ -681,6 +686,7 @@
         return Math.min(settings.maxHoldMicros, settings.initialHoldMicros << Math.min(20, Math.max(0, zone.lossCount - 1)));
     }
 
+    /** Changes a zone's health, and records and logs the evidence for it. */
     private void changeHealth(long now, Zone zone, ZoneHealth health, int silent, int alive) {
         if (health == ZoneHealth.DARK) {
             // Losses in quick succession lengthen the hold; old ones are forgotten.
--- a/src/test/java/badgermux/cordon/CordonsTest.java
+++ b/src/test/java/badgermux/cordon/CordonsTest.java
@@ -14,6 +14,7 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
+/** Tests how cordons and absences change the backends of a list. */
 class CordonsTest {
     private static final long WARM_UP_MICROS = 100;
 
--- a/src/test/java/badgermux/core/EngineTest.java
+++ b/src/test/java/badgermux/core/EngineTest.java
@@ -142,7 +142,7 @@
         assertEquals(0, engine.openRequestCount());
     }
 
-    /** If the policy is not told, it keeps a request that has its final answer and sends it later. */
+    /** If the policy is not notified, it keeps a request that has its final answer and sends it later. */
     @Test void exceptionInEventEndsRequestForPolicyToo() {
         submit(() -> {
             throw new IllegalStateException("thrown by the test");
