--- a/src/main/java/badgermux/front/AcceptFailureHandler.java
+++ b/src/main/java/badgermux/front/AcceptFailureHandler.java
@@ -4,20 +4,20 @@
 import io.netty.channel.ChannelInboundHandlerAdapter;
 
 /**
- * Takes the failures of a listener, mostly for want of a descriptor, from Netty's own handler behind it, which would stop
- * accepting for a whole second, in which requests that the system let in lie unread, and go on accepting then whatever the
- * front wants.
+ * Handles failures of a listener to accept, mostly for lack of a descriptor. It keeps them from Netty's own handler, which
+ * would stop accepting for a second, during which requests on connections in the socket's queue lie unread, and would then
+ * resume even if the frontend has stopped accepting.
  */
 final class AcceptFailureHandler extends ChannelInboundHandlerAdapter {
     private final Runnable pauseAccepting;
 
     /**
-     * Makes one for a listener.
+     * Creates a handler for a listener's pipeline.
      *
-     * @param pause stops accepting for a moment; called on the event loop
+     * @param pauseAccepting stops accepting for a short time; called on the event loop
      */
-    AcceptFailureHandler(Runnable pause) {
-        this.pauseAccepting = pause;
+    AcceptFailureHandler(Runnable pauseAccepting) {
+        this.pauseAccepting = pauseAccepting;
     }
 
     @Override public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
--- a/src/main/java/badgermux/front/FinalAnswerScheduler.java
+++ b/src/main/java/badgermux/front/FinalAnswerScheduler.java
@@ -6,18 +6,18 @@
 import java.util.function.LongSupplier;
 
 /**
- * Gives the last answers before the process is killed, in batches, so that all of them are out in time.
+ * Gives all open requests their final answers before the process is killed.
  *
- * <p>Each answer takes the event loop some time, on a slow core several milliseconds. So the more requests are open, the
- * sooner it begins; and it goes on in small batches, between which the event loop reads and writes. What an answer costs is
- * measured as it goes.
+ * <p>Each answer takes the event loop some time, on a slow core several milliseconds. The scheduler therefore begins earlier
+ * the more requests are open, and answers in small batches, between which the event loop reads and writes. It measures the
+ * cost of an answer with each batch.
  */
 final class FinalAnswerScheduler {
-    /** How many requests are answered at once. */
+    /** Requests that are answered without a pause. */
     static final int BATCH_SIZE = 8;
-    /** What an answer is taken to cost before one has been measured: four times what it costs on a whole core, in microseconds. */
+    /** Assumed cost of an answer before the first batch: four times its cost on a whole core. */
     static final long INITIAL_COST_MICROS = 5_000;
-    /** How often what is open is counted anew, in microseconds. */
+    /** How often the open requests are counted until the first batch. */
     private static final long CHECK_INTERVAL_MICROS = 50_000;
 
     private final Deadlines deadlines;
@@ -30,29 +30,30 @@
     private boolean hasBegun;
 
     /**
-     * Makes it; {@link #start} sets it going.
+     * Creates a scheduler, which waits for {@link #start}.
      *
-     * @param clock    microseconds
-     * @param open     how many requests wait for their final answer
-     * @param answer   gives so many of them their final answers at most
-     * @param earliest no last answer is given before, however many are open
-     * @param due      when all are to be out
+     * @param clock          the time in microseconds
+     * @param openRequests   the number of requests without a final answer
+     * @param answerRequests gives at most that many open requests their final answers
+     * @param earliestMicros the earliest time of a final answer, however many requests are open
+     * @param dueMicros      when all answers are to be given
      */
-    FinalAnswerScheduler(Deadlines deadlines, LongSupplier clock, IntSupplier open, IntConsumer answer, long earliest, long due) {
+    FinalAnswerScheduler(Deadlines deadlines, LongSupplier clock, IntSupplier openRequests, IntConsumer answerRequests,
+            long earliestMicros, long dueMicros) {
         this.deadlines = deadlines;
         this.clock = clock;
-        this.openRequests = open;
-        this.answerRequests = answer;
-        this.earliestMicros = earliest;
-        this.dueMicros = due;
+        this.openRequests = openRequests;
+        this.answerRequests = answerRequests;
+        this.earliestMicros = earliestMicros;
+        this.dueMicros = dueMicros;
     }
 
-    /** Counts what is open until it is time, and answers it then. */
+    /** Waits until the open requests have to be answered, and answers them. */
     void start() {
-        long begin = Math.max(earliestMicros, dueMicros - openRequests.getAsInt() * costMicros);
-        long now = clock.getAsLong();
-        if (now < begin) {
-            deadlines.scheduleAt(Math.min(begin, now + CHECK_INTERVAL_MICROS), this::start);
+        long beginMicros = Math.max(earliestMicros, dueMicros - openRequests.getAsInt() * costMicros);
+        long nowMicros = clock.getAsLong();
+        if (nowMicros < beginMicros) {
+            deadlines.scheduleAt(Math.min(beginMicros, nowMicros + CHECK_INTERVAL_MICROS), this::start);
             return;
         }
         hasBegun = true;
@@ -64,14 +65,14 @@
         if (openBefore == 0) {
             return;
         }
-        long startedAt = clock.getAsLong();
+        long startMicros = clock.getAsLong();
         answerRequests.accept(BATCH_SIZE);
-        costMicros = Math.max(1, (clock.getAsLong() - startedAt) / Math.max(1, openBefore - openRequests.getAsInt()));
-        // Behind what has been read and is to be written meanwhile.
+        costMicros = Math.max(1, (clock.getAsLong() - startMicros) / Math.max(1, openBefore - openRequests.getAsInt()));
+        // The event loop reads and writes before the next batch.
         deadlines.scheduleAfter(0, this::answerBatch);
     }
 
-    /** Whether it has begun: what is taken from then on would be open when the process is killed. */
+    /** Whether answering has begun; a request that is taken from then on would still be open at SIGKILL. */
     boolean hasBegun() {
         return hasBegun;
     }
--- a/src/main/java/badgermux/front/Frontend.java
+++ b/src/main/java/badgermux/front/Frontend.java
@@ -31,30 +31,40 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 
-/** Where clients connect: takes connections in, keeps their number bounded, and winds them up at the end. */
+/** Accepts client connections, limits their number, and closes them when the process ends or hands over. */
 public final class Frontend {
-    /** After SIGTERM the front layer goes on sending new connections for a while; they are served until then. */
+    /** How long after SIGTERM new connections are still served: the load balancer goes on sending them for a while. */
     static final long ACCEPT_AFTER_SIGTERM_MICROS = 700_000;
-    /** So long clients may use the connections that they have, once more each: the next dispatcher may not be up yet. */
+    /**
+     * How long after SIGTERM idle connections stay open. Each takes one more request, as the next dispatcher may not be up
+     * yet.
+     */
     static final long KEEP_ALIVE_AFTER_SIGTERM_MICROS = 500_000;
-    /** SIGKILL follows SIGTERM by the longest deadline, counted as so much where it is longer, and the changeover. */
+    /**
+     * Upper bound of the longest deadline in the time from SIGTERM to SIGKILL, which is that deadline plus
+     * {@link #ACCEPT_AFTER_SIGTERM_MICROS}.
+     */
     static final long MAX_KILL_DEADLINE_MICROS = 3_000_000;
-    /** So long before that kill whoever still waits is told what is known: time to write, and to end. */
+    /** How long before SIGKILL all open requests get their final answers: time to write the answers and to exit. */
     private static final long FINAL_ANSWER_MARGIN_MICROS = 400_000;
+    /** How often a draining process checks whether it is idle. */
     private static final long IDLE_CHECK_INTERVAL_MICROS = 50_000;
-    /** A client sends as soon as it is connected. One that has not by then may have to make room for others. */
+    /** A connection that has been silent for this long may be evicted: clients send as soon as they are connected. */
     static final long EVICTION_GRACE_MICROS = 300_000;
-    /** The same while nobody more can be let in: what had come by then has been read. */
+    /**
+     * Replaces {@link #EVICTION_GRACE_MICROS} while no further connection can be accepted. Input that has arrived by then has
+     * been read.
+     */
     static final long EVICTION_GRACE_WHEN_FULL_MICROS = 60_000;
-    /** A request that goes on coming is let be so long, where nobody else can make room. */
+    /** A connection that is still receiving a request this long after its start may be evicted if no other can be. */
     static final long EVICTION_GRACE_RECEIVING_MICROS = 3_000_000;
-    /** How soon those who wait to be accepted are looked after again, while there is no room. */
+    /** How long accepting pauses when there is no room. */
     private static final long ACCEPT_PAUSE_MICROS = 20_000;
-    /** For so many there has to be room then, if those that are heard out can make it. */
+    /** Number of connections for which room is made after the pause by aborting closing connections. */
     private static final int ACCEPT_HEADROOM = 16;
-    /** When a request that is refused here, for want of room, should come again. */
+    /** Retry-After of a request that is refused here because there is no room. */
     private static final long RETRY_AFTER_MICROS = 500_000;
-    /** How often a connection is read in one round: Netty's own number. A request of ours takes fewer, its body included. */
+    /** Reads of one connection per round of the event loop: Netty's default. A request with its body takes fewer. */
     private static final int MAX_READS_PER_LOOP = 16;
 
     private final LongSupplier clock;
@@ -63,7 +73,9 @@
     private final Engine<ForwardedRequest> engine;
     private final List<String> classNames;
     private final List<String> tenantNames;
+    /** By index of the request class. */
     private final List<Long> classDeadlineMicros;
+    /** Indexes of the request classes that need an Idempotency-Key. */
     private final Set<Integer> keyedClasses;
     private final BooleanSupplier readiness;
     private int maxConnections;
@@ -71,45 +83,50 @@
     private final long maxBodyBytes;
     private final long retryAfterMicros;
     private final long finalAnswerDelayMicros;
+    /** Null if requests are not validated. */
     private final RequestValidator requestValidator;
     private final LinkedHashSet<FrontendConnection> connections = new LinkedHashSet<>();
-    /** Those of which nothing has come yet, the oldest first. */
+    /** Connections that have sent nothing yet, oldest first. */
     private final LinkedHashSet<FrontendConnection> silentConnections = new LinkedHashSet<>();
-    /** Those that have begun a request, the one that has said nothing for longest first. */
+    /** Connections that have sent part of a request, longest silent first. */
     private final LinkedHashSet<FrontendConnection> receivingConnections = new LinkedHashSet<>();
-    /** Those between two requests that never brought a request. */
+    /** Idle connections that have not sent a valid request, longest idle first. */
     private final LinkedHashSet<FrontendConnection> unprovenConnections = new LinkedHashSet<>();
-    /** Those between two requests, the one that has been so longest first. */
+    /** Idle connections that have sent a valid request before, longest idle first. */
     private final LinkedHashSet<FrontendConnection> idleConnections = new LinkedHashSet<>();
-    /** Those that we have begun to end and that are heard out, the one that has been so longest first. */
+    /** Connections in a lingering close, longest closing first. */
     private final LinkedHashSet<FrontendConnection> closingConnections = new LinkedHashSet<>();
-    /** The ids of all requests that wait for their answer. */
+    /** The ids of all requests that have no final answer yet. */
     private final Set<String> openRequestIds = new HashSet<>();
     private Channel listener;
-    private Deadlines.Deadline resumeAccepting;
+    /** Ends a pause of accepting; null if there is none. */
+    private Deadlines.Deadline acceptTimer;
+    /** Memory reserved for request bodies and pipelined input. */
     private long bodyBytes;
+    /** Whether other processes hold the listening socket, too. */
     private boolean isListenerShared;
     private boolean isHandedOver;
     private boolean isDraining;
     private long drainStartMicros;
     private FinalAnswerScheduler finalAnswers;
-    /** Whether nothing was open at the last look. */
+    /** Whether no connection and no request was open at the last idle check. */
     private boolean wasIdle;
     private AfterInputExecutor afterInput;
 
     /**
-     * Makes a front that does not listen yet.
+     * Creates a frontend that does not listen yet.
      *
-     * @param settings what the module is told: the classes, and how long clients may be told to stay away
-     * @param ready    whether requests can be served
-     * @param cap      how many client connections are served at once
-     * @param overCap  how many more are accepted, to be told so and not left to wait
-     * @param maxHeld  what all bodies that have come, whole or in part, may hold until their requests are answered
-     * @param gate     judges requests before they are taken; null where all may come in
+     * @param clock               the time in microseconds
+     * @param settings            the request classes, the tenants and the longest Retry-After
+     * @param readiness           whether requests can be served
+     * @param maxConnections      how many client connections are served at once
+     * @param maxExtraConnections how many more are accepted, so that their requests are refused and not left waiting
+     * @param maxBodyBytes        bound of the memory for request bodies, complete or partial, until their requests are answered
+     * @param requestValidator    validates requests before they are submitted; null if none are validated
      */
     public Frontend(LongSupplier clock, Deadlines deadlines, Metrics metrics, Engine<ForwardedRequest> engine,
-            DispatchPolicy.Settings settings, BooleanSupplier ready, int cap, int overCap,
-            long maxHeld, RequestValidator gate) {
+            DispatchPolicy.Settings settings, BooleanSupplier readiness, int maxConnections, int maxExtraConnections,
+            long maxBodyBytes, RequestValidator requestValidator) {
         this.clock = clock;
         this.deadlines = deadlines;
         this.metrics = metrics;
@@ -120,27 +137,28 @@
         keyedClasses = IntStream.range(0, classNames.size())
             .filter(c -> settings.classes.get(c).effect() == DispatchPolicy.Effect.BY_KEY).boxed().collect(Collectors.toSet());
         retryAfterMicros = Math.min(RETRY_AFTER_MICROS, settings.maxRetryAfterMicros);
-        finalAnswerDelayMicros = finalAnswerDelayMicros(classDeadlineMicros.stream().mapToLong(Long::longValue).max().orElse(MAX_KILL_DEADLINE_MICROS));
-        this.readiness = ready;
-        this.maxConnections = cap;
-        this.maxExtraConnections = overCap;
-        this.maxBodyBytes = maxHeld;
-        this.requestValidator = gate;
+        finalAnswerDelayMicros = finalAnswerDelayMicros(
+            classDeadlineMicros.stream().mapToLong(Long::longValue).max().orElse(MAX_KILL_DEADLINE_MICROS));
+        this.readiness = readiness;
+        this.maxConnections = maxConnections;
+        this.maxExtraConnections = maxExtraConnections;
+        this.maxBodyBytes = maxBodyBytes;
+        this.requestValidator = requestValidator;
         metrics.registerGauge("client_connections_open", connections::size);
     }
 
     /**
-     * How long after SIGTERM all that is open is answered, in microseconds: a little before the kill, which comes the
-     * sooner the shorter all deadlines are.
+     * Returns how long after SIGTERM all open requests get their final answers, in microseconds: shortly before SIGKILL,
+     * whose time depends on the longest deadline.
      *
-     * @param longestDeadline of all classes
+     * @param longestDeadlineMicros the longest deadline of all request classes
      */
-    static long finalAnswerDelayMicros(long longestDeadline) {
-        long kill = Math.min(longestDeadline, MAX_KILL_DEADLINE_MICROS) + ACCEPT_AFTER_SIGTERM_MICROS;
-        return Math.max(kill / 2, kill - FINAL_ANSWER_MARGIN_MICROS);
+    static long finalAnswerDelayMicros(long longestDeadlineMicros) {
+        long killMicros = Math.min(longestDeadlineMicros, MAX_KILL_DEADLINE_MICROS) + ACCEPT_AFTER_SIGTERM_MICROS;
+        return Math.max(killMicros / 2, killMicros - FINAL_ANSWER_MARGIN_MICROS);
     }
 
-    /** Listens on this address only. */
+    /** Listens on an address; the future completes when it is bound. */
     public ChannelFuture listen(EventLoopGroup loop, InetSocketAddress address) {
         ChannelFuture bound = bootstrap(loop).channel(NioServerSocketChannel.class)
             .option(ChannelOption.SO_BACKLOG, 1024).option(ChannelOption.SO_REUSEADDR, true).bind(address);
@@ -149,10 +167,10 @@
     }
 
     /**
-     * Serves clients of a socket that listens already and that other processes hold, too. It is never closed here: Java
+     * Serves clients of a listening socket that other processes hold, too. The socket is never closed here, because Java
      * would close the standard output with it.
      *
-     * @param startAccepting whether to accept at once, and not only after {@link #cancelHandover}
+     * @param startAccepting whether to accept at once; otherwise accepting starts with {@link #cancelHandover}
      */
     public ChannelFuture listen(EventLoopGroup loop, ServerSocketChannel serverSocket, boolean startAccepting) {
         isListenerShared = true;
@@ -165,12 +183,12 @@
 
     private ServerBootstrap bootstrap(EventLoopGroup loop) {
         afterInput = new AfterInputExecutor(loop.next());
-        // Guards against a client's end that is read a round later than the request before it: all that has come is read.
-        RecvByteBufAllocator untilNothingIsLeft = new AdaptiveRecvByteBufAllocator().respectMaybeMoreData(false)
+        // Reads all input that has arrived, so that a client's disconnect is read in the same round as the request before it.
+        RecvByteBufAllocator readAllInput = new AdaptiveRecvByteBufAllocator().respectMaybeMoreData(false)
             .maxMessagesPerRead(MAX_READS_PER_LOOP);
         return new ServerBootstrap().group(loop).childOption(ChannelOption.TCP_NODELAY, true)
-            .childOption(ChannelOption.RECVBUF_ALLOCATOR, untilNothingIsLeft)
-            // Guards against a batch that is accepted whole before the first of it is counted: one after another.
+            .childOption(ChannelOption.RECVBUF_ALLOCATOR, readAllInput)
+            // Accepts one connection at a time: a batch would be accepted whole before its first connection is counted.
             .option(ChannelOption.RECVBUF_ALLOCATOR, new ServerChannelRecvByteBufAllocator())
             .handler(new AcceptFailureHandler(this::pauseAccepting))
             .childHandler(new ChannelInitializer<SocketChannel>() {
@@ -180,15 +198,15 @@
             });
     }
 
-    /** Bounds connections anew, as the constructor says it. */
-    public void setConnectionLimits(int most, int beyond) {
-        maxConnections = most;
-        maxExtraConnections = beyond;
+    /** Replaces the two limits on connections that were given to the constructor. */
+    public void setConnectionLimits(int max, int maxExtra) {
+        maxConnections = max;
+        maxExtraConnections = maxExtra;
     }
 
     /**
-     * Another process serves the same socket from here on: none are accepted, clients between two requests are closed, and
-     * the others once they have their answer, so that what they send next goes to that process.
+     * Leaves the listening socket to another process: stops accepting, closes idle connections, and closes the others after
+     * their next answer. Clients then connect to the other process.
      */
     public void handOver() {
         if (!isHandedOver && !isDraining) {
@@ -198,7 +216,7 @@
         }
     }
 
-    /** Accepts again. */
+    /** Accepts connections again after {@link #handOver}. */
     public void cancelHandover() {
         if (isHandedOver && !isDraining) {
             isHandedOver = false;
@@ -207,15 +225,16 @@
     }
 
     private void stopAccepting() {
-        deadlines.cancel(resumeAccepting);
-        resumeAccepting = null;
+        deadlines.cancel(acceptTimer);
+        acceptTimer = null;
         listener.config().setAutoRead(false);
     }
 
     /**
-     * Winds up: serves what comes during the changeover, answers all that was taken, then runs {@code quiet}.
+     * Serves requests for {@link #ACCEPT_AFTER_SIGTERM_MICROS} more, and runs {@code onDrained} when all connections are
+     * closed and all requests have ended.
      *
-     * @param startMicros when the process was told to end; the kill counts from there, however late this is called
+     * @param startMicros when the process got SIGTERM; the time of SIGKILL counts from there, not from this call
      */
     public void drain(long startMicros, Runnable onDrained) {
         if (isDraining) {
@@ -227,7 +246,7 @@
             startMicros + finalAnswerDelayMicros / 2, startMicros + finalAnswerDelayMicros);
         finalAnswers.start();
         if (isListenerShared) {
-            // Who connects from here on waits in the socket's queue for the next process, and is not refused.
+            // New connections wait in the socket's queue for the next process, and are not refused.
             stopAccepting();
         }
         if (isHandedOver) {
@@ -241,36 +260,41 @@
     private void finishDrainWhenIdle(Runnable onDrained) {
         closeIdleConnections();
         long readUntil = inputReadUntilMicros();
-        // Guards against a first request that crosses its connection's close: only those that say nothing are closed.
-        List.copyOf(silentConnections).stream().filter(c -> readUntil - c.openedMicros() >= EVICTION_GRACE_MICROS).forEach(FrontendConnection::close);
-        // Guards against a request that has come whole so late that it can't be answered before we are killed.
-        List.copyOf(receivingConnections).stream().filter(c -> now() >= drainStartMicros + ACCEPT_AFTER_SIGTERM_MICROS
-            || !c.isReceivingInPieces() && readUntil - c.lastReadMicros() >= EVICTION_GRACE_MICROS).forEach(FrontendConnection::refuseIncompleteRequest);
-        boolean isQuiet = connections.isEmpty() && engine.openRequestCount() == 0;
-        // Guards against who was let in by the system and not by us yet: there is another look, and all may come in before it.
-        if (isQuiet && (isListenerShared || wasIdle)) {
+        // Closes new connections only after a silence, as their first request could cross the close.
+        List.copyOf(silentConnections).stream()
+            .filter(c -> readUntil - c.openedMicros() >= EVICTION_GRACE_MICROS)
+            .forEach(FrontendConnection::close);
+        // Refuses incomplete requests: once complete, they could not be answered before SIGKILL.
+        List.copyOf(receivingConnections).stream()
+            .filter(c -> nowMicros() >= drainStartMicros + ACCEPT_AFTER_SIGTERM_MICROS
+                || !c.isReceivingInPieces() && readUntil - c.lastReadMicros() >= EVICTION_GRACE_MICROS)
+            .forEach(FrontendConnection::refuseIncompleteRequest);
+        boolean isIdle = connections.isEmpty() && engine.openRequestCount() == 0;
+        // A listener of our own is closed at the second idle check in a row: the kernel may hold connections that are not
+        // accepted yet, and they are accepted between the two checks.
+        if (isIdle && (isListenerShared || wasIdle)) {
             if (!isListenerShared) {
                 listener.close();
             }
             onDrained.run();
             return;
         }
-        wasIdle = isQuiet;
-        if (isQuiet) {
+        wasIdle = isIdle;
+        if (isIdle) {
             resumeAcceptingNow();
         }
         deadlines.scheduleAfter(IDLE_CHECK_INTERVAL_MICROS, () -> finishDrainWhenIdle(onDrained));
     }
 
     private void resumeAcceptingNow() {
-        deadlines.cancel(resumeAccepting);
-        resumeAccepting = null;
+        deadlines.cancel(acceptTimer);
+        acceptTimer = null;
         listener.config().setAutoRead(true);
     }
 
-    /** What had come by then has been read: the event loop may have stood still since. */
+    /** Returns the time up to which arrived input has been read: the start of the event loop's stall, if there is one. */
     private long inputReadUntilMicros() {
-        return now() - deadlines.stallMicros();
+        return nowMicros() - deadlines.stallMicros();
     }
 
     private void closeIdleConnections() {
@@ -278,11 +302,11 @@
         List.copyOf(unprovenConnections).forEach(FrontendConnection::close);
     }
 
-    // ---- For its connections
+    // ---- Called by connections
 
     void connectionOpened(FrontendConnection connection) {
         metrics.increment(Count.CLIENT_CONNECTIONS);
-        // Guards against one ended as silent whose request lies unread in the same round of input.
+        // Evicts after this round of input, as the request of a connection that looks silent may be read in it.
         if (activeConnectionCount() >= maxConnections) {
             afterInput.execute(() -> {
                 if (activeConnectionCount() > maxConnections) {
@@ -298,32 +322,36 @@
     }
 
     private void pauseAccepting() {
-        if (resumeAccepting == null && listener.config().isAutoRead()) {
+        if (acceptTimer == null && listener.config().isAutoRead()) {
             listener.config().setAutoRead(false);
-            resumeAccepting = deadlines.scheduleAfter(ACCEPT_PAUSE_MICROS, this::resumeAccepting);
+            acceptTimer = deadlines.scheduleAfter(ACCEPT_PAUSE_MICROS, this::resumeAccepting);
         }
     }
 
     /**
-     * Closes the connection that will be missed least, if there is one: a stranger's, then one that has said nothing
-     * for a while, then one that left half a request behind, then a client's between two requests, which sends what crosses
-     * the close once more. One whose request goes on coming comes last, and only after 3 s.
+     * Closes the least useful connection, if there is one. Candidates in this order: an idle connection that has not sent a
+     * valid request; one that has been silent since it was opened; one that stopped sending in the middle of a request; an
+     * idle connection of a client, which resends a request that crosses the close; and a connection that is still receiving
+     * a request after {@link #EVICTION_GRACE_RECEIVING_MICROS}.
+     *
+     * @return whether a connection was closed
      */
     private boolean evictConnection() {
         long readUntil = inputReadUntilMicros();
-        long silentSince = readUntil - (connections.size() < maxConnections + maxExtraConnections ? EVICTION_GRACE_MICROS : EVICTION_GRACE_WHEN_FULL_MICROS);
+        long silentSince = readUntil - (connections.size() < maxConnections + maxExtraConnections
+            ? EVICTION_GRACE_MICROS : EVICTION_GRACE_WHEN_FULL_MICROS);
         FrontendConnection victim = firstOrNull(unprovenConnections);
         victim = victim == null ? firstSilentSince(silentConnections, silentSince) : victim;
         victim = victim == null ? firstSilentSince(receivingConnections, readUntil - EVICTION_GRACE_MICROS) : victim;
         victim = victim == null ? firstOrNull(idleConnections) : victim;
-        // Guards against a crowd that holds all places by a byte now and then.
+        // Otherwise clients that send a byte now and then could occupy all connections.
         victim = victim != null ? victim : receivingConnections.stream()
             .filter(c -> readUntil - c.requestStartMicros() >= EVICTION_GRACE_RECEIVING_MICROS).findFirst().orElse(null);
         if (victim == null) {
             return false;
         }
         metrics.increment(Count.CLIENT_CONNECTIONS_EVICTED);
-        // Guards against a request whose last byte crosses the end of its connection: its client is told.
+        // Sends an answer to a partial request, as its last byte may cross the close.
         if (receivingConnections.contains(victim)) {
             victim.refuseIncompleteRequest();
         } else {
@@ -332,27 +360,30 @@
         return true;
     }
 
-    /** How many connections have not begun to end. */
+    /** Returns how many connections are open and not closing. */
     private int activeConnectionCount() {
         return connections.size() - closingConnections.size();
     }
 
-    /** Guards against a crowd that is heard out while nobody more can be let in: each has its moment, and no more. */
+    /**
+     * Aborts connections that have been closing for {@link #EVICTION_GRACE_WHEN_FULL_MICROS}, until there is room for new ones.
+     * Otherwise many lingering closes could keep new connections out.
+     */
     private void abortClosingConnections() {
-        int most = maxConnections + maxExtraConnections - Math.min(ACCEPT_HEADROOM, maxExtraConnections);
+        int targetCount = maxConnections + maxExtraConnections - Math.min(ACCEPT_HEADROOM, maxExtraConnections);
         for (FrontendConnection connection : List.copyOf(closingConnections)) {
-            if (connections.size() <= most || now() - connection.closingMicros() < EVICTION_GRACE_WHEN_FULL_MICROS) {
+            if (connections.size() <= targetCount || nowMicros() - connection.closingMicros() < EVICTION_GRACE_WHEN_FULL_MICROS) {
                 return;
             }
-            connectionClosed(connection);     // at once: its end is told later
+            connectionClosed(connection);     // counted now, as channelInactive follows later
             connection.abort();
         }
     }
 
-    /** The first that is not moving and has said nothing since a time; null where there is none. */
-    private static FrontendConnection firstSilentSince(LinkedHashSet<FrontendConnection> of, long since) {
-        for (FrontendConnection connection : of) {
-            if (connection.lastReadMicros() > since) {
+    /** Returns the first connection that is not receiving in pieces and has been silent since a time; null if there is none. */
+    private static FrontendConnection firstSilentSince(LinkedHashSet<FrontendConnection> candidates, long sinceMicros) {
+        for (FrontendConnection connection : candidates) {
+            if (connection.lastReadMicros() > sinceMicros) {
                 return null;
             }
             if (!connection.isReceivingInPieces()) {
@@ -362,33 +393,37 @@
         return null;
     }
 
-    private static FrontendConnection firstOrNull(LinkedHashSet<FrontendConnection> of) {
-        return of.isEmpty() ? null : of.iterator().next();
+    private static FrontendConnection firstOrNull(LinkedHashSet<FrontendConnection> candidates) {
+        return candidates.isEmpty() ? null : candidates.iterator().next();
     }
 
-    /** Guards against a flood that takes the descriptors of all others: while there is no room, none are accepted. */
+    /**
+     * Makes room and accepts again, or pauses once more if there is still no room. Accepting without a limit would use up the
+     * descriptors that backend connections and other parts need.
+     */
     private void resumeAccepting() {
-        resumeAccepting = null;
-        boolean room = true;
-        while (room && activeConnectionCount() > maxConnections) {
-            room = evictConnection();
+        acceptTimer = null;
+        boolean isEvicted = true;
+        while (isEvicted && activeConnectionCount() > maxConnections) {
+            isEvicted = evictConnection();
         }
         abortClosingConnections();
         if (connections.size() < maxConnections + maxExtraConnections) {
             listener.config().setAutoRead(true);
         } else {
-            resumeAccepting = deadlines.scheduleAfter(ACCEPT_PAUSE_MICROS, this::resumeAccepting);
+            acceptTimer = deadlines.scheduleAfter(ACCEPT_PAUSE_MICROS, this::resumeAccepting);
         }
     }
 
-    /** A request has begun to come, and goes on. */
-    void receivingConnections(FrontendConnection connection) {
+    /** Part of a request has been received. */
+    void connectionReceiving(FrontendConnection connection) {
         if (connections.contains(connection)) {
             removeFromAllSets(connection);
             receivingConnections.add(connection);
         }
     }
 
+    /** The connection has neither an open nor a partial request. */
     void connectionIdle(FrontendConnection connection) {
         if (connections.contains(connection)) {
             removeFromAllSets(connection);
@@ -396,11 +431,12 @@
         }
     }
 
+    /** The connection has an open request and can't be evicted. */
     void connectionBusy(FrontendConnection connection) {
         removeFromAllSets(connection);
     }
 
-    /** It has begun to end, and is heard out. */
+    /** The connection has started a lingering close. */
     void connectionClosing(FrontendConnection connection) {
         removeFromAllSets(connection);
         if (connections.contains(connection)) {
@@ -421,7 +457,7 @@
         closingConnections.remove(connection);
     }
 
-    /** Whether a request of this id waits for its answer. */
+    /** Whether a request with this id has no final answer yet. */
     boolean isRequestOpen(String id) {
         return openRequestIds.contains(id);
     }
@@ -434,40 +470,46 @@
         openRequestIds.remove(id);
     }
 
-    /** Whether clients are to go elsewhere with what they send next. */
+    /** Whether connections close after their answer, so that clients send their next request to another process. */
     boolean isWindingDown() {
         return isDraining || isHandedOver;
     }
 
-    /** Whether what is taken now would be open when we are killed. */
+    /** Whether it is too late to take requests, which would still be open at SIGKILL. */
     boolean isPastFinalAnswers() {
-        return isDraining && (finalAnswers.hasBegun() || now() >= drainStartMicros + finalAnswerDelayMicros);
+        return isDraining && (finalAnswers.hasBegun() || nowMicros() >= drainStartMicros + finalAnswerDelayMicros);
     }
 
     /**
-     * Whether a connection that is let in now may have waited for it, so that its client may have left meanwhile: there was
-     * no room, or the event loop stood still.
+     * Whether a connection that is accepted now may have waited in the socket's queue, so that its client may have left: there
+     * was no room, or the event loop stalled.
      */
     boolean mayAcceptLate() {
-        return activeConnectionCount() >= maxConnections || deadlines.stallMicros() > FrontendConnection.LATE_ACCEPT_WAIT_MICROS;
+        return activeConnectionCount() >= maxConnections
+            || deadlines.stallMicros() > FrontendConnection.LATE_ACCEPT_WAIT_MICROS;
     }
 
-    /** Whether as many requests as connections are served wait for their answer: one more is turned away. */
+    /** Whether the open requests have reached the limit on connections; further requests are refused. */
     boolean isAtRequestLimit() {
         return openRequestIds.size() >= maxConnections;
     }
 
-    /** What a client is told to wait that is turned away for want of room; 0 where it can't be told. */
+    /** Returns the Retry-After of a request that is refused because there is no room; 0 for none. */
     long retryAfterMicros() {
         return retryAfterMicros;
     }
 
-    /** Whether the requests of a class come with a key. */
-    boolean requiresIdempotencyKey(int jobClass) {
-        return keyedClasses.contains(jobClass);
+    /** Whether the requests of a class must have an Idempotency-Key. */
+    boolean requiresIdempotencyKey(int requestClass) {
+        return keyedClasses.contains(requestClass);
     }
 
-    /** Guards against bodies that fill the heap: counts so many bytes more as held, if there is room for them. */
+    /**
+     * Reserves memory for received bytes, so that request bodies can't fill the heap.
+     *
+     * @param bytes to be released if negative
+     * @return whether there was room; if not, nothing is reserved
+     */
     boolean reserveBodyBytes(int bytes) {
         if (bytes > 0 && bodyBytes + bytes > maxBodyBytes) {
             metrics.increment(Count.BODIES_OVER_CAP);
@@ -481,18 +523,18 @@
         return notReadyReason() == null;
     }
 
-    /** Why requests can't be served here; null where they can. */
+    /** Returns why requests can't be served, as the console prints it; null if they can. */
     public String notReadyReason() {
         return isDraining ? "this process is ending" : !listener.isActive() ? "clients can't connect yet"
             : readiness.getAsBoolean() ? null : "there is no list of runners yet";
     }
 
-    /** Where clients connect. */
+    /** Returns the address that clients connect to. */
     public SocketAddress address() {
         return listener.localAddress();
     }
 
-    /** Null where there is none. */
+    /** Returns the validator of requests; null if there is none. */
     RequestValidator requestValidator() {
         return requestValidator;
     }
@@ -501,7 +543,7 @@
         return engine;
     }
 
-    long now() {
+    long nowMicros() {
         return clock.getAsLong();
     }
 
@@ -513,14 +555,14 @@
         return metrics;
     }
 
-    /** The number of a class; -1 where there is none of that name. */
+    /** Returns the index of a request class; -1 if there is none of that name. */
     int classIndex(String name) {
         return Names.indexOf(classNames, name);
     }
 
     /**
-     * The number of a tenant; 0 where the settings name none. One that they do not name, and a request without, has no share:
-     * it gets the number behind the last, is counted, and served as traffic beyond a share is.
+     * Returns the index of a tenant; 0 if the settings name no tenants. An unknown tenant, or a request without one, is counted
+     * and gets the index after the last: it has no quota and is served like traffic beyond a quota.
      */
     int tenantIndex(String name) {
         int tenant = Names.indexOf(tenantNames, name);
@@ -530,7 +572,8 @@
         return tenant < 0 ? tenantNames.size() : tenant;
     }
 
-    long classDeadlineMicros(int jobClass) {
-        return classDeadlineMicros.get(jobClass);
+    /** Returns how long a client of a request class waits for its answer. */
+    long classDeadlineMicros(int requestClass) {
+        return classDeadlineMicros.get(requestClass);
     }
 }
--- a/src/main/java/badgermux/front/FrontendConnection.java
+++ b/src/main/java/badgermux/front/FrontendConnection.java
@@ -1,12 +1,12 @@
 package badgermux.front;
 
-import badgermux.core.ResponseListener;
 import badgermux.core.Deadlines;
+import badgermux.core.ResponseListener;
+import badgermux.http.ForwardedRequest;
 import badgermux.http.InvalidMessageException;
 import badgermux.http.MessageEncoder;
 import badgermux.http.MessageHead;
 import badgermux.http.MessageReader;
-import badgermux.http.ForwardedRequest;
 import badgermux.http.ResponseContract;
 import badgermux.metrics.Metrics.Count;
 import badgermux.metrics.Metrics.Ending;
@@ -22,39 +22,42 @@
 import java.nio.charset.StandardCharsets;
 import org.tinylog.Logger;
 
-/** A client's connection: one request at a time, each with its final answer. */
+/** A client's connection. Serves one request at a time and gives each its final answer. */
 final class FrontendConnection extends ChannelInboundHandlerAdapter implements MessageReader.Listener, ResponseListener {
-    /** A connection that owes the rest of a request, or its first one, is heard out so long from the last byte on. */
+    /** How long a connection may be silent before its first request or within a request. */
     static final long READ_TIMEOUT_MICROS = 2_000_000;
-    /** A request must have come whole within this time of its first byte, however it goes on coming. */
+    /** How long a request may take from its first byte to its last. */
     static final long REQUEST_READ_TIMEOUT_MICROS = 8_000_000;
-    /** Bytes that come so long after others were sent apart: nobody's who left half a request behind. */
+    /** Bytes of a request that come this long after the previous ones were sent separately: the client is still sending. */
     private static final long SEPARATE_SEND_GAP_MICROS = 20_000;
     /**
-     * A client's end may come this much behind its request where both waited for us to let it in. Half of the 0.1 s after
-     * which no attempt may begin for a client that has left; the other half is for the way here.
+     * How long to wait for the client's disconnect before a request is submitted whose connection waited to be accepted.
+     * No attempt may begin later than 0.1 s after the client has left. Half of that is waited here; the other half is left
+     * for the way of the disconnect to this process.
      */
     static final long LATE_ACCEPT_WAIT_MICROS = 50_000;
-    /** A connection that we end is heard out for so long, and for so many bytes more, before it is cut off. */
+    /** How long a closing connection is still read after this side has been shut down. */
     static final long LINGER_MICROS = 500_000;
+    /** How many bytes are read from a closing connection before it is aborted. */
     private static final long MAX_LINGER_BYTES = 1 << 20;
-    /** What the buffer of bytes not read yet holds before it has to grow. */
+    /** Initial capacity of the buffer of unread input. */
     private static final int INITIAL_BUFFER_BYTES = 1024;
-    /** So much may be sent behind a whole request that waits itself: clients send one at a time. */
+    /** How many bytes may follow a queued request: clients send one request at a time. */
     static final int MAX_PIPELINED_BYTES = 1 << 20;
 
-    /** A request that is being read, or waits behind one that is not answered yet. */
+    /** A request that is being received, is queued behind an unanswered one, or is being served. */
     private static final class IncomingRequest {
         private final long startMicros;
-        /** When its last byte came; deadlines count from there. */
+        /** When its last byte arrived; deadlines count from there. */
         private long completeMicros;
         private MessageHead head;
         private ByteArrayOutputStream body = new ByteArrayOutputStream(0);
         private int reservedBytes;
+        /** Whether there was no memory for the body. */
         private boolean isBodyDropped;
 
-        IncomingRequest(long beganAt) {
-            this.startMicros = beganAt;
+        IncomingRequest(long startMicros) {
+            this.startMicros = startMicros;
         }
     }
 
@@ -63,17 +66,22 @@
     private final MessageReader reader = new MessageReader(false, MessageReader.MAX_BODY_BYTES, this);
     private final ByteBuf unreadInput = Unpooled.buffer(INITIAL_BUFFER_BYTES);
     private final long openedMicros;
+    /** Null if no part of a request has been received. */
     private IncomingRequest receivingRequest;
+    /** The complete request behind the current one; null if there is none. */
     private IncomingRequest queuedRequest;
+    /** The request that is being served; null if there is none. */
     private IncomingRequest currentRequest;
     private Deadlines.Deadline readTimeout;
     private String openRequestId;
+    /** Null if the response is not validated. */
     private ResponseContract responseContract;
-    private long request;
+    /** The engine's id of the current request; 0 if it has not been submitted or is answered. */
+    private long engineRequestId;
     private long lastReadMicros;
-    /** When what was read last may have come: before {@link #lastReadMicros}, where the event loop stood still. */
+    /** When the last input may have arrived: before {@link #lastReadMicros} if the event loop stalled. */
     private long arrivalMicros;
-    /** Whether its first request may be from a client that has left: it waited to be let in. */
+    /** Whether the connection waited to be accepted, so that the client of its first request may have left. */
     private boolean wasAcceptedLate;
     private ChannelFuture lastWrite;
     private boolean isReceivingInPieces;
@@ -87,34 +95,34 @@
     private boolean isClosing;
     private boolean isClosed;
 
-    FrontendConnection(Frontend front, SocketChannel channel) {
-        this.frontend = front;
+    FrontendConnection(Frontend frontend, SocketChannel channel) {
+        this.frontend = frontend;
         this.channel = channel;
-        openedMicros = front.now();
+        openedMicros = frontend.nowMicros();
         lastReadMicros = openedMicros;
     }
 
-    /** When it was opened. */
+    /** Returns when the connection was accepted. */
     long openedMicros() {
         return openedMicros;
     }
 
-    /** When its last byte came; when it was opened, before that. */
+    /** Returns when input was last read; before the first input, when the connection was accepted. */
     long lastReadMicros() {
         return lastReadMicros;
     }
 
-    /** When the request that it has begun began to come. */
+    /** Returns when the first byte of the partial request was read; without one, {@link #lastReadMicros()}. */
     long requestStartMicros() {
         return receivingRequest == null ? lastReadMicros : receivingRequest.startMicros;
     }
 
-    /** Whether the request that it has begun goes on coming in pieces. */
+    /** Whether the partial request has come in separate pieces, so that its client is still sending. */
     boolean isReceivingInPieces() {
         return isReceivingInPieces;
     }
 
-    /** Whether a request was taken from it: a bad client's connections never get that far. */
+    /** Whether a valid request has been received; connections of misbehaving clients never get that far. */
     boolean hasSentRequest() {
         return hasSentRequest;
     }
@@ -129,7 +137,7 @@
     @Override public void channelRead(ChannelHandlerContext ctx, Object message) {
         ByteBuf in = (ByteBuf) message;
         if (isClosing) {
-            // Guards against a reset that eats the error on its way: what still comes is read, but for a bounded time.
+            // Reads and discards the input: closing with unread input resets the connection and loses the response on its way.
             lingerBytes += in.readableBytes();
             in.release();
             if (lingerBytes > MAX_LINGER_BYTES) {
@@ -137,10 +145,10 @@
             }
             return;
         }
-        long now = frontend.now();
+        long now = frontend.nowMicros();
         isReceivingInPieces |= receivingRequest != null && now - lastReadMicros > SEPARATE_SEND_GAP_MICROS;
         lastReadMicros = now;
-        // Guards against a deadline that starts late: the client counts from its last byte, not from our reading.
+        // The client's deadline counts from its last byte, which may have arrived before this read.
         arrivalMicros = now - frontend.deadlines().stallMicros();
         unreadInput.discardReadBytes().writeBytes(in);
         in.release();
@@ -148,8 +156,8 @@
     }
 
     /**
-     * Reads request after request; an answer given at once does not come back in here. One request is read ahead of its
-     * turn, so that what is no request is rejected now and not once the request before it has its answer.
+     * Reads and handles one request after another. An answer that is sent from within this method does not start it again.
+     * One request is read ahead of its turn, so that an invalid message is rejected at once and not after the current request.
      */
     private void processInput() {
         if (isProcessing) {
@@ -157,12 +165,13 @@
         }
         isProcessing = true;
         try {
-            while (!isClosed && !isClosing && keepAlive && (queuedRequest != null && !isAwaitingAnswer || unreadInput.isReadable())) {
+            while (!isClosed && !isClosing && keepAlive
+                    && (queuedRequest != null && !isAwaitingAnswer || unreadInput.isReadable())) {
                 if (queuedRequest != null && !isAwaitingAnswer) {
                     currentRequest = queuedRequest;
                     queuedRequest = null;
                     isAwaitingAnswer = true;
-                    request();
+                    handleRequest();
                 } else if (queuedRequest != null) {
                     break;
                 } else {
@@ -184,15 +193,15 @@
     }
 
     /**
-     * Guards against a heap full of what clients send ahead, and against a client that has left unnoticed: its end lies
-     * behind all that it sent, so reading is never off. What is beyond the bounds ends the connection.
+     * Rejects pipelined input beyond the limits, which would fill the heap. Reading is never suspended instead, because a
+     * client's disconnect is only noticed behind all that it sent.
      */
     private void limitPipelining() {
-        int now = queuedRequest == null ? 0 : unreadInput.readableBytes();
-        if (now > MAX_PIPELINED_BYTES || !frontend.reserveBodyBytes(now - pipelinedBytes)) {
+        int unreadBytes = queuedRequest == null ? 0 : unreadInput.readableBytes();
+        if (unreadBytes > MAX_PIPELINED_BYTES || !frontend.reserveBodyBytes(unreadBytes - pipelinedBytes)) {
             reject(413, "too much is sent ahead of an answer");
         } else {
-            pipelinedBytes = now;
+            pipelinedBytes = unreadBytes;
         }
     }
 
@@ -208,13 +217,13 @@
         }
     }
 
-    /** What the connection waits for from here, and for how long. */
+    /** Reports the state to the frontend, and starts or cancels the read timeout. */
     private void updateState() {
-        boolean partial = receivingRequest != null && !reader.isBetweenMessages();
-        if (!partial) {
+        boolean isPartial = receivingRequest != null && !reader.isBetweenMessages();
+        if (!isPartial) {
             receivingRequest = null;
         }
-        if (partial || !isAwaitingAnswer && !hasSentRequest) {
+        if (isPartial || !isAwaitingAnswer && !hasSentRequest) {
             if (readTimeout == null) {
                 readTimeout = frontend.deadlines().scheduleAfter(READ_TIMEOUT_MICROS, this::readTimedOut);
             }
@@ -224,18 +233,19 @@
         }
         if (isAwaitingAnswer) {
             frontend.connectionBusy(this);
-        } else if (partial) {
-            frontend.receivingConnections(this);
+        } else if (isPartial) {
+            frontend.connectionReceiving(this);
         } else {
             frontend.connectionIdle(this);
         }
     }
 
-    /** Guards against connections held by those who say nothing, or half of something. */
+    /** Closes a connection that has sent nothing or only a part of a request in time. */
     private void readTimedOut() {
-        long until = receivingRequest == null ? 0 : Math.min(lastReadMicros + READ_TIMEOUT_MICROS, receivingRequest.startMicros + REQUEST_READ_TIMEOUT_MICROS);
-        if (until > frontend.now()) {
-            readTimeout = frontend.deadlines().scheduleAt(until, this::readTimedOut);     // it goes on coming
+        long untilMicros = receivingRequest == null ? 0
+            : Math.min(lastReadMicros + READ_TIMEOUT_MICROS, receivingRequest.startMicros + REQUEST_READ_TIMEOUT_MICROS);
+        if (untilMicros > frontend.nowMicros()) {
+            readTimeout = frontend.deadlines().scheduleAt(untilMicros, this::readTimedOut);     // still receiving
             return;
         }
         readTimeout = null;
@@ -247,14 +257,17 @@
         }
     }
 
-    @Override public void onHead(MessageHead came) {
-        receivingRequest.head = came;
-        if (!isAwaitingAnswer && came.hasListItem("Expect", "100-continue")) {
+    @Override public void onHead(MessageHead head) {
+        receivingRequest.head = head;
+        if (!isAwaitingAnswer && head.hasListItem("Expect", "100-continue")) {
             channel.writeAndFlush(MessageEncoder.message("HTTP/1.1 100 Continue\r\n", new byte[0]));
         }
     }
 
-    /** Where bodies have no room, the rest of this one is read all the same: an answer before its end may be missed. */
+    /**
+     * Stores the next bytes of a body. A body for which there is no memory is still read to its end, because the client may
+     * miss a response that is sent before.
+     */
     @Override public void onBody(byte[] bytes) {
         receivingRequest.isBodyDropped = receivingRequest.isBodyDropped || !frontend.reserveBodyBytes(bytes.length);
         if (receivingRequest.isBodyDropped) {
@@ -266,10 +279,10 @@
         }
     }
 
-    private void request() throws InvalidMessageException {
+    private void handleRequest() throws InvalidMessageException {
         String[] line = currentRequest.head.requestLine();
         keepAlive = currentRequest.head.isKeepAlive();
-        // RFC 9112, 3.2: a request without it is none.
+        // RFC 9112, 3.2: a request without Host is invalid.
         if (currentRequest.head.get("Host") == null) {
             throw new InvalidMessageException(400, "Host is missing");
         }
@@ -281,14 +294,14 @@
     }
 
     private void handlePost(RequestFields fields, String method, String target) throws InvalidMessageException {
-        int jobClass = frontend.classIndex(fields.className());
-        if (jobClass < 0) {
+        int requestClass = frontend.classIndex(fields.className());
+        if (requestClass < 0) {
             throw new InvalidMessageException(400, "unknown class");
         }
-        if (!fields.hasIdempotencyKey() && frontend.requiresIdempotencyKey(jobClass)) {
+        if (!fields.hasIdempotencyKey() && frontend.requiresIdempotencyKey(requestClass)) {
             throw new InvalidMessageException(400, "Idempotency-Key is missing");
         }
-        // Guards against a request that takes another client's place at the backends: they know a request by its id.
+        // Backends identify a request by its id, so two open requests must not share one.
         if (frontend.isRequestOpen(fields.id())) {
             frontend.metrics().increment(Count.IDS_IN_USE);
             throw new InvalidMessageException(409, "X-Request-ID is in use");
@@ -297,108 +310,112 @@
         if (frontend.isAtRequestLimit()) {
             frontend.metrics().increment(Count.CLIENT_CONNECTIONS_OVER_CAP);
             keepAlive = false;
-            refuse(jobClass);
+            refuse(requestClass);
             return;
         }
-        // Guards against a request that is taken so late that it would be open when we are killed.
+        // A request that is taken now would still be open at SIGKILL.
         if (frontend.isPastFinalAnswers()) {
-            refuse(jobClass);
+            refuse(requestClass);
             return;
         }
         if (currentRequest.isBodyDropped) {
-            refuse(jobClass);
+            refuse(requestClass);
             return;
         }
         byte[] body = currentRequest.body.toByteArray();
         currentRequest.body = null;
-        // From here on its id is in use, also while it is being judged.
+        // The id is in use from here on, also during validation.
         openRequestId = fields.id();
         frontend.registerRequest(openRequestId);
         frontend.connectionBusy(this);
-        request = 0;
+        engineRequestId = 0;
         if (frontend.requestValidator() == null) {
-            submit(fields, jobClass, body);
+            submit(fields, requestClass, body);
         } else {
-            frontend.requestValidator().validate(method, target, currentRequest.head, body, new PendingValidation(fields, jobClass, body, currentRequest));
+            frontend.requestValidator().validate(method, target, currentRequest.head, body,
+                new PendingValidation(fields, requestClass, body, currentRequest));
         }
     }
 
-    /** Refused here, for want of room: the engine, which counts all other endings, never hears of it. */
-    private void refuse(int jobClass) {
-        frontend.metrics().recordEnding(Ending.DEFERRED, jobClass);
+    /** Refuses a request that is not submitted. The ending is counted here, as the engine counts submitted requests only. */
+    private void refuse(int requestClass) {
+        frontend.metrics().recordEnding(Ending.DEFERRED, requestClass);
         onRefused(frontend.retryAfterMicros());
     }
 
-    /** Waits for what the gate says of a request. */
+    /** Receives the result of one request's validation. */
     private final class PendingValidation implements RequestValidator.Callback {
         private final RequestFields fields;
-        private final int jobClass;
+        private final int requestClass;
         private final byte[] body;
         private final IncomingRequest validated;
 
-        PendingValidation(RequestFields fields, int jobClass, byte[] body, IncomingRequest of) {
+        PendingValidation(RequestFields fields, int requestClass, byte[] body, IncomingRequest validated) {
             this.fields = fields;
-            this.jobClass = jobClass;
+            this.requestClass = requestClass;
             this.body = body;
-            this.validated = of;
+            this.validated = validated;
         }
 
-        /** Guards against a verdict on a request whose client has left, or was rejected, meanwhile. */
+        /** Whether the client has left or was rejected during the validation. */
         private boolean isStale() {
             return isClosed || isClosing || currentRequest != validated;
         }
 
-        @Override public void onAccepted(ResponseContract held) {
+        @Override public void onAccepted(ResponseContract contract) {
             if (!isStale()) {
-                responseContract = held;
-                submit(fields, jobClass, body);
-            } else if (held != null) {
-                held.release();
+                responseContract = contract;
+                submit(fields, requestClass, body);
+            } else if (contract != null) {
+                contract.release();
             }
         }
 
         @Override public void onRejected(int status, String reason, String headers, byte[] content) {
             if (!isStale()) {
-                frontend.metrics().recordEnding(Ending.ERRORED, jobClass);
+                frontend.metrics().recordEnding(Ending.ERRORED, requestClass);
                 sendResponse(status, reason, headers, content);
             }
         }
 
         @Override public void onOverloaded() {
             if (!isStale()) {
-                refuse(jobClass);
+                refuse(requestClass);
             }
         }
     }
 
-    private void submit(RequestFields fields, int jobClass, byte[] body) {
+    /** Submits the current request, after {@link #LATE_ACCEPT_WAIT_MICROS} if its client may have left. */
+    private void submit(RequestFields fields, int requestClass, byte[] body) {
         if (!wasAcceptedLate) {
-            submit(fields, jobClass, body, true);
+            submit(fields, requestClass, body, true);
             return;
         }
         wasAcceptedLate = false;
         IncomingRequest submitted = currentRequest;
         frontend.deadlines().scheduleAfter(LATE_ACCEPT_WAIT_MICROS, () -> {
             if (!isClosed && !isClosing && currentRequest == submitted) {
-                submit(fields, jobClass, body, false);
+                submit(fields, requestClass, body, false);
             }
         });
     }
 
-    private void submit(RequestFields fields, int jobClass, byte[] body, boolean timeKnown) {
-        if (frontend.isPastFinalAnswers()) {     // it has been judged for as long as that
-            refuse(jobClass);
+    private void submit(RequestFields fields, int requestClass, byte[] body, boolean isDeadlineKnown) {
+        if (frontend.isPastFinalAnswers()) {     // the validation has taken until then
+            refuse(requestClass);
             return;
         }
-        ForwardedRequest relay = new ForwardedRequest(fields.id(), fields.requestLine(), fields.headers(), body, responseContract);
-        // Guards against a patience beyond that of its class: the module would take all others for late.
-        long patience = Math.min(fields.timeout() > 0 ? fields.timeout() : Long.MAX_VALUE, frontend.classDeadlineMicros(jobClass));
-        long taken = frontend.engine().submit(this, relay, jobClass, frontend.tenantIndex(fields.tenant()), fields.slots(),
-            currentRequest.completeMicros + patience, timeKnown);
-        request = isAwaitingAnswer ? taken : 0;     // it may have its answer by now
+        ForwardedRequest forwarded =
+            new ForwardedRequest(fields.id(), fields.requestLine(), fields.headers(), body, responseContract);
+        // Caps the client's timeout by its class's: a longer one would make the policy treat all other requests as late.
+        long timeoutMicros = Math.min(fields.timeoutMicros() > 0 ? fields.timeoutMicros() : Long.MAX_VALUE,
+            frontend.classDeadlineMicros(requestClass));
+        long submittedId = frontend.engine().submit(this, forwarded, requestClass, frontend.tenantIndex(fields.tenant()),
+            fields.slots(), currentRequest.completeMicros + timeoutMicros, isDeadlineKnown);
+        engineRequestId = isAwaitingAnswer ? submittedId : 0;     // it may be answered already
     }
 
-    /** What operators ask: whether it is ready, and the counters. */
+    /** Answers operators' requests for readiness and metrics. */
     private void handleGet(String target) {
         if (target.equals("/healthz")) {
             sendResponse(frontend.isReady() ? 200 : 503, frontend.isReady() ? "OK" : "Not Ready", "", new byte[0]);
@@ -414,31 +431,34 @@
         sendResponse(200, "OK", "", result);
     }
 
-    @Override public void onRefused(long comeBack) {
-        String advice = comeBack <= 0 ? "" : "Retry-After: " + formatSeconds(comeBack) + "\r\n";
-        sendResponse(503, "Service Unavailable", advice, new byte[0]);
+    @Override public void onRefused(long retryAfterMicros) {
+        String headers = retryAfterMicros <= 0 ? "" : "Retry-After: " + formatSeconds(retryAfterMicros) + "\r\n";
+        sendResponse(503, "Service Unavailable", headers, new byte[0]);
     }
 
-    /** Seconds with three decimals, 0.001 at least. Not by a formatter, which took a third of the time of a refusal. */
+    /**
+     * Formats microseconds as seconds with three decimals, at least 0.001. Uses no formatter, which took a third of the time
+     * of a refusal.
+     */
     static String formatSeconds(long micros) {
         long millis = Math.max(1, (micros + 500) / 1000);
         return millis / 1000 + "." + Long.toString(1000 + millis % 1000).substring(1);
     }
 
-    @Override public void onFailed(boolean late) {
-        sendResponse(late ? 504 : 500, late ? "Gateway Timeout" : "Internal Server Error", "", new byte[0]);
+    @Override public void onFailed(boolean isLate) {
+        sendResponse(isLate ? 504 : 500, isLate ? "Gateway Timeout" : "Internal Server Error", "", new byte[0]);
     }
 
     private void sendResponse(int status, String reason, String headers, byte[] content) {
         finishRequest();
-        // What has come whole behind it is answered as well.
+        // A queued request is answered before the connection closes.
         keepAlive &= !frontend.isWindingDown() || queuedRequest != null;
         if (isClosed) {
             return;
         }
         ChannelFuture written =
             channel.writeAndFlush(MessageEncoder.response(status, reason, headers, content, keepAlive));
-        // Guards against a client left waiting on a connection whose answer could not be written.
+        // Otherwise a client whose response could not be written would go on waiting.
         written.addListener(ChannelFutureListener.CLOSE_ON_FAILURE);
         lastWrite = written;
         if (keepAlive) {
@@ -448,37 +468,37 @@
         }
     }
 
-    /** Ends the connection with an error. What it says of a request that is still open, too: nothing more comes of it. */
-    private void reject(int status, String why) {
+    /** Rejects invalid input and closes the connection; a request that is still open gets no other answer. */
+    private void reject(int status, String message) {
         frontend.metrics().increment(Count.BAD_MESSAGES);
-        sendErrorAndClose(status, "Rejected", why);
+        sendErrorAndClose(status, "Rejected", message);
     }
 
-    /** Half of a request has come, and the rest can't be waited for: its client is told so, and may go to another process. */
+    /** Refuses a request that has been received in part and closes the connection; the client may use another process. */
     void refuseIncompleteRequest() {
         sendErrorAndClose(503, "Service Unavailable", "the request came too slowly for this process to wait for its end");
     }
 
-    private void sendErrorAndClose(int status, String reason, String why) {
-        long open = isAwaitingAnswer ? request : 0;
+    private void sendErrorAndClose(int status, String reason, String message) {
+        long openRequest = isAwaitingAnswer ? engineRequestId : 0;
         finishRequest();
         keepAlive = false;
-        if (open != 0) {
-            frontend.engine().clientDisconnected(open);
+        if (openRequest != 0) {
+            frontend.engine().clientDisconnected(openRequest);
         }
-        lingeringClose(channel.writeAndFlush(MessageEncoder.response(status, reason, "", (why + "\n")
+        lingeringClose(channel.writeAndFlush(MessageEncoder.response(status, reason, "", (message + "\n")
             .getBytes(StandardCharsets.UTF_8), false)));
     }
 
     /**
-     * The one way in which a connection is ended from this side: what is written goes out, our side is shut, and the other
-     * side is heard out, for a bounded time and number of bytes. Guards against a close over unread bytes, also such that
-     * have not come up from the system yet: it is a reset, which takes the answer that is on its way with it. What is
-     * read from here on is no request of ours: its client, who sees the end, sends it once more.
+     * Closes the connection from this side: waits for the last write, shuts down the output, and reads on for a limited time
+     * and number of bytes. Closing with unread input, in the kernel or here, would reset the connection and lose the response
+     * on its way. Input that is read from here on is discarded; the client sees the end of the stream and sends its request
+     * again.
      */
     private void lingeringClose(ChannelFuture written) {
         isClosing = true;
-        closingMicros = frontend.now();
+        closingMicros = frontend.nowMicros();
         discardInput();
         frontend.deadlines().cancel(readTimeout);
         readTimeout = frontend.deadlines().scheduleAfter(READ_TIMEOUT_MICROS, this::abort);
@@ -493,7 +513,7 @@
         });
     }
 
-    /** When this side began to end it; 0 before. */
+    /** Returns when the lingering close started; 0 before. */
     long closingMicros() {
         return closingMicros;
     }
@@ -508,7 +528,7 @@
         currentRequest = null;
         frontend.unregisterRequest(openRequestId);
         openRequestId = null;
-        request = 0;
+        engineRequestId = 0;
     }
 
     private void discardInput() {
@@ -521,37 +541,37 @@
         unreadInput.clear().capacity(0);
     }
 
-    private void releaseBody(IncomingRequest of) {
-        if (of != null) {
-            frontend.reserveBodyBytes(-of.reservedBytes);
-            of.reservedBytes = 0;
+    private void releaseBody(IncomingRequest request) {
+        if (request != null) {
+            frontend.reserveBodyBytes(-request.reservedBytes);
+            request.reservedBytes = 0;
         }
     }
 
-    /** Ends it from this side, in order; once. */
+    /** Starts a lingering close, unless one has started or the connection is closed. */
     void close() {
         if (!isClosed && !isClosing) {
             keepAlive = false;
-            // Guards against an answer cut short: to shut our side drops what has not left yet.
+            // Waits for the last write, as shutting down the output drops what has not been sent.
             lingeringClose(lastWrite);
         }
     }
 
-    /** Closes at once, whatever may still be coming. */
+    /** Closes at once and discards all input. */
     void abort() {
         channel.close();
     }
 
-    /** Guards against a client that has left and whose request goes on: its end is noticed while it waits, too. */
+    /** Ends the current request when the client disconnects, also while the request waits for its answer. */
     @Override public void channelInactive(ChannelHandlerContext ctx) {
         isClosed = true;
         frontend.connectionClosed(this);
         frontend.deadlines().cancel(readTimeout);
-        long open = isAwaitingAnswer ? request : 0;
+        long openRequest = isAwaitingAnswer ? engineRequestId : 0;
         finishRequest();
         discardInput();
-        if (open != 0) {
-            frontend.engine().clientDisconnected(open);
+        if (openRequest != 0) {
+            frontend.engine().clientDisconnected(openRequest);
         }
     }
 
@@ -561,8 +581,8 @@
             return;
         }
         frontend.metrics().increment(Count.EXCEPTIONS);
-        Logger.error(cause, "exception on a client's connection");
-        // Guards against a request that ends without an answer: an exception ends it, but tells its client so.
+        Logger.error(cause, "Unexpected exception on a client connection");
+        // The exception ends the current request, whose client still gets an answer.
         if (isClosed || isClosing) {
             abort();
         } else {
--- a/src/main/java/badgermux/front/RequestValidator.java
+++ b/src/main/java/badgermux/front/RequestValidator.java
@@ -3,20 +3,28 @@
 import badgermux.http.MessageHead;
 import badgermux.http.ResponseContract;
 
-/** Says of each request, before anything is taken, whether it may come in. */
+/** Decides about each request, before it is submitted to the engine, whether it is accepted. */
 public interface RequestValidator {
-    /** Told the verdict once, on the event loop: from inside {@link #validate}, or later. */
+    /** Receives the result of a validation. One method is called, once, on the event loop: within {@link #validate} or later. */
     interface Callback {
-        /** It may come in; {@code terms} are what its answer is held to, null for nothing. */
-        void onAccepted(ResponseContract terms);
+        /**
+         * The request is accepted.
+         *
+         * @param contract validates the response; null if it is not validated
+         */
+        void onAccepted(ResponseContract contract);
 
-        /** It is turned away for what it is; {@code headers} are whole lines. */
+        /**
+         * The request is invalid.
+         *
+         * @param headers header lines of the response, each with its line end
+         */
         void onRejected(int status, String reason, String headers, byte[] body);
 
-        /** It can't be judged now, for want of room. */
+        /** The request can't be validated now, for lack of capacity. */
         void onOverloaded();
     }
 
-    /** Judges a request that is whole. */
+    /** Validates a complete request. */
     void validate(String method, String target, MessageHead head, byte[] body, Callback callback);
 }
--- a/src/main/java/badgermux/front/package-info.java
+++ b/src/main/java/badgermux/front/package-info.java
@@ -1,2 +1,2 @@
-/** Client connections: from the bytes of a request to its final answer. */
+/** Client connections: reads requests, submits them to the engine, and writes their final answers. */
 package badgermux.front;
--- a/src/test/java/badgermux/front/AcceptFailureHandlerTest.java
+++ b/src/test/java/badgermux/front/AcceptFailureHandlerTest.java
@@ -14,16 +14,16 @@
 class AcceptFailureHandlerTest {
     @Test void acceptFailurePausesAcceptingAndIsNotPassedOn() {
         AtomicInteger pauses = new AtomicInteger();
-        AtomicReference<Throwable> behind = new AtomicReference<>();
+        AtomicReference<Throwable> passedOn = new AtomicReference<>();
         EmbeddedChannel listener = new EmbeddedChannel(new AcceptFailureHandler(pauses::incrementAndGet),
             new ChannelInboundHandlerAdapter() {
                 @Override public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-                    behind.set(cause);
+                    passedOn.set(cause);
                 }
             });
         listener.pipeline().fireExceptionCaught(new IOException("Too many open files"));
         assertEquals(1, pauses.get());
-        assertNull(behind.get(), "the handler behind it stops accepting for a second");
+        assertNull(passedOn.get(), "the next handler, Netty's, would stop accepting for a second");
         listener.finishAndReleaseAll();
     }
 }
--- a/src/test/java/badgermux/front/FinalAnswerDelayTest.java
+++ b/src/test/java/badgermux/front/FinalAnswerDelayTest.java
@@ -8,7 +8,7 @@
 import net.jqwik.api.constraints.LongRange;
 import org.junit.jupiter.api.Test;
 
-/** When all that is open is answered after SIGTERM, in microseconds. */
+/** Tests how long after SIGTERM the final answers are given, in microseconds. */
 class FinalAnswerDelayTest {
     @Test void delayFollowsTheCappedDeadline() {
         assertEquals(3_300_000, Frontend.finalAnswerDelayMicros(3_000_000));
@@ -16,10 +16,11 @@
         assertEquals(1_700_000, Frontend.finalAnswerDelayMicros(1_400_000));
     }
 
-    @Property void delayLeavesAMarginBeforeTheKill(@ForAll @LongRange(min = 1, max = 4_000_000_000_000L) long longest) {
-        long kill = Math.min(longest, 3_000_000) + 700_000;
-        long last = Frontend.finalAnswerDelayMicros(longest);
-        assertTrue(last > 0 && kill - last >= 350_000, last + " of " + kill);
-        assertTrue(last <= Frontend.finalAnswerDelayMicros(longest + 1), "the longer the later");
+    @Property
+    void delayLeavesAMarginBeforeTheKill(@ForAll @LongRange(min = 1, max = 4_000_000_000_000L) long longestDeadline) {
+        long kill = Math.min(longestDeadline, 3_000_000) + 700_000;
+        long delay = Frontend.finalAnswerDelayMicros(longestDeadline);
+        assertTrue(delay > 0 && kill - delay >= 350_000, delay + " us, SIGKILL after " + kill + " us");
+        assertTrue(delay <= Frontend.finalAnswerDelayMicros(longestDeadline + 1), "the delay must grow with the deadline");
     }
 }
--- a/src/test/java/badgermux/front/FinalAnswerSchedulerTest.java
+++ b/src/test/java/badgermux/front/FinalAnswerSchedulerTest.java
@@ -12,52 +12,52 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** The last answers on a clock that the test turns: an answer costs the event loop the time that the test says. */
+/** Tests when final answers are given, on a simulated clock that each answer advances by a fixed cost. */
 class FinalAnswerSchedulerTest {
     private static final long EARLIEST_MICROS = 1_650_000;
     private static final long DUE_MICROS = 3_300_000;
 
-    /** One end of a process. */
+    /** One simulated shutdown of a process. */
     private static final class Shutdown {
-        private final Deadlines deadlines = new Deadlines(() -> now(), at -> alarm(at), new Metrics(List.of()));
-        private final FinalAnswerScheduler answers =
-            new FinalAnswerScheduler(deadlines, this::now, () -> open(), this::answer, EARLIEST_MICROS, DUE_MICROS);
+        private final Deadlines deadlines = new Deadlines(() -> nowMicros(), at -> setAlarm(at), new Metrics(List.of()));
+        private final FinalAnswerScheduler scheduler = new FinalAnswerScheduler(deadlines, this::nowMicros,
+            () -> openRequests(), this::answerRequests, EARLIEST_MICROS, DUE_MICROS);
         private final long costMicros;
-        private long now;
+        private long nowMicros;
         private long alarmMicros = Long.MAX_VALUE;
-        private int open;
+        private int openRequests;
         private long firstAnswerMicros = -1;
         private long lastAnswerMicros;
 
-        Shutdown(int open, long cost) {
-            this.open = open;
-            this.costMicros = cost;
+        Shutdown(int openRequests, long costMicros) {
+            this.openRequests = openRequests;
+            this.costMicros = costMicros;
         }
 
-        private long now() {
-            return now;
+        private long nowMicros() {
+            return nowMicros;
         }
 
-        private int open() {
-            return open;
+        private int openRequests() {
+            return openRequests;
         }
 
-        private void alarm(long at) {
+        private void setAlarm(long at) {
             alarmMicros = at;
         }
 
-        private void answer(int most) {
-            firstAnswerMicros = firstAnswerMicros < 0 ? now : firstAnswerMicros;
-            int answered = Math.min(most, open);
-            open -= answered;
-            now += answered * costMicros;
-            lastAnswerMicros = now;
+        private void answerRequests(int limit) {
+            firstAnswerMicros = firstAnswerMicros < 0 ? nowMicros : firstAnswerMicros;
+            int answered = Math.min(limit, openRequests);
+            openRequests -= answered;
+            nowMicros += answered * costMicros;
+            lastAnswerMicros = nowMicros;
         }
 
         Shutdown run() {
-            answers.start();
-            while (alarmMicros < Long.MAX_VALUE && now < 5 * DUE_MICROS) {
-                now = Math.max(now, alarmMicros);
+            scheduler.start();
+            while (alarmMicros < Long.MAX_VALUE && nowMicros < 5 * DUE_MICROS) {
+                nowMicros = Math.max(nowMicros, alarmMicros);
                 alarmMicros = Long.MAX_VALUE;
                 deadlines.runDue();
             }
@@ -65,25 +65,26 @@
         }
     }
 
-    @Property void allRequestsAreAnsweredInTime(@ForAll @IntRange(max = 300) int open,
-            @ForAll @IntRange(min = 1, max = 5_000) int cost) {
-        Shutdown shutdown = new Shutdown(open, cost).run();
-        assertEquals(0, shutdown.open);
+    @Property void allRequestsAreAnsweredInTime(@ForAll @IntRange(max = 300) int openRequests,
+            @ForAll @IntRange(min = 1, max = 5_000) int costMicros) {
+        Shutdown shutdown = new Shutdown(openRequests, costMicros).run();
+        assertEquals(0, shutdown.openRequests);
         assertTrue(shutdown.lastAnswerMicros <= DUE_MICROS, shutdown.lastAnswerMicros + " us");
         assertTrue(shutdown.firstAnswerMicros < 0 || shutdown.firstAnswerMicros >= EARLIEST_MICROS);
     }
 
     @Test void fewRequestsAreNotAnsweredTooEarly() {
         Shutdown shutdown = new Shutdown(4, 1_000).run();
-        assertTrue(shutdown.firstAnswerMicros >= DUE_MICROS - 4 * FinalAnswerScheduler.INITIAL_COST_MICROS, shutdown.firstAnswerMicros + " us");
+        assertTrue(shutdown.firstAnswerMicros >= DUE_MICROS - 4 * FinalAnswerScheduler.INITIAL_COST_MICROS,
+            shutdown.firstAnswerMicros + " us");
     }
 
     @Test void tooManyRequestsStartAtTheEarliestTime() {
         Shutdown shutdown = new Shutdown(2_000, 5_000);
-        assertFalse(shutdown.answers.hasBegun());
+        assertFalse(shutdown.scheduler.hasBegun());
         shutdown.run();
         assertEquals(EARLIEST_MICROS, shutdown.firstAnswerMicros);
-        assertTrue(shutdown.answers.hasBegun());
-        assertEquals(0, shutdown.open);
+        assertTrue(shutdown.scheduler.hasBegun());
+        assertEquals(0, shutdown.openRequests);
     }
 }
