--- a/src/main/java/badgermux/backend/AttemptExchange.java
+++ b/src/main/java/badgermux/backend/AttemptExchange.java
@@ -1,70 +1,75 @@
 package badgermux.backend;
 
 import badgermux.core.Deadlines;
-import badgermux.decide.DispatchPolicy.Outcome;
 import badgermux.decide.DispatchPolicy.LoadReport;
+import badgermux.decide.DispatchPolicy.Outcome;
+import badgermux.http.ForwardedRequest;
 import badgermux.http.InvalidMessageException;
-import badgermux.http.OutboundConnection;
-import badgermux.http.MessageHead;
 import badgermux.http.JsonLine;
 import badgermux.http.LineSplitter;
-import badgermux.http.ForwardedRequest;
+import badgermux.http.MessageHead;
+import badgermux.http.OutboundConnection;
 import badgermux.http.ResponseContract;
 import io.netty.buffer.ByteBuf;
 import java.nio.charset.StandardCharsets;
 
-/** An attempt on its connection: the request as it goes on, and what the lines and statuses that come back mean. */
+/** One attempt on its connection: sends the forwarded request and derives the outcome from the response. */
 final class AttemptExchange implements OutboundConnection.Exchange {
-    private final ForwardedRequest forwarded;
+    private final ForwardedRequest forwardedRequest;
     private final HttpBackendClient.BackendPool pool;
     private final long deadlineMicros;
     private final long attemptId;
     private final HttpBackendClient client;
+    /** Null until the attempt starts. */
     private PooledConnection pooledConnection;
     private final LineSplitter lineSplitter = new LineSplitter();
+    /** Null until the response tells it. */
     private Outcome outcome;
     private byte[] result;
     private LoadReport loadReport;
+    /** Null if the response is not validated. */
     private ResponseContract.LineValidator lineValidator;
     private boolean hasStartedWriting;
+    /** Whether the status is 200, so that the body consists of JSON lines. */
     private boolean hasResultLines;
     private boolean isReported;
     private Deadlines.Deadline responseEndTimeout;
 
-    AttemptExchange(ForwardedRequest relay, HttpBackendClient.BackendPool backend, long limit, long attempt, HttpBackendClient backends) {
-        this.forwarded = relay;
-        this.pool = backend;
-        this.deadlineMicros = limit;
-        this.attemptId = attempt;
-        this.client = backends;
+    AttemptExchange(ForwardedRequest forwardedRequest, HttpBackendClient.BackendPool pool, long deadlineMicros, long attemptId,
+            HttpBackendClient client) {
+        this.forwardedRequest = forwardedRequest;
+        this.pool = pool;
+        this.deadlineMicros = deadlineMicros;
+        this.attemptId = attemptId;
+        this.client = client;
     }
 
-    /** Where it goes. */
+    /** Returns the pool of the backend that the attempt is sent to. */
     HttpBackendClient.BackendPool pool() {
         return pool;
     }
 
-    /** Starts on a connection, which may not be up yet. */
-    void startOn(PooledConnection connection) {
-        pooledConnection = connection;
-        connection.connection.start(this);
+    /** Starts the attempt on a connection, which may still be connecting. */
+    void startOn(PooledConnection pooled) {
+        pooledConnection = pooled;
+        pooled.connection.start(this);
     }
 
-    /** Drops it and its connection, if it has one: nothing more is told of it. */
+    /** Gives the attempt up and closes its connection, if it has one. Its outcome is not reported. */
     void abort() {
         if (pooledConnection != null) {
             pooledConnection.connection.abort();
         }
     }
 
-    /** Whether it has been handed to its connection's socket: from then on its backend may hear of it. */
+    /** Whether the request has been handed to the socket, so that the backend may receive it. */
     boolean hasStartedWriting() {
         return hasStartedWriting;
     }
 
     @Override public ByteBuf createRequest() {
         hasStartedWriting = true;
-        return forwarded.encode(pool.hostHeader(), Math.max(1, (deadlineMicros - client.now()) / 1000));
+        return forwardedRequest.encode(pool.hostHeader(), Math.max(1, (deadlineMicros - client.nowMicros()) / 1000));
     }
 
     @Override public void onRequestWritten() {
@@ -76,10 +81,11 @@
         String load = head.get("X-Server-Load");
         loadReport = load == null ? null : LoadReportParser.parse(load.getBytes(StandardCharsets.ISO_8859_1));
         hasResultLines = status == 200;
-        lineValidator = hasResultLines && forwarded.contract() != null ? forwarded.contract().lineValidator(head) : null;
+        lineValidator = hasResultLines && forwardedRequest.contract() != null
+            ? forwardedRequest.contract().lineValidator(head) : null;
         if (!hasResultLines) {
-            boolean unseen = (status == 503 || status == 504) && "1".equals(head.get("X-Not-Processed"));
-            outcome = unseen ? Outcome.REJECTED : status / 100 == 4 ? Outcome.UNFIT : Outcome.ERROR;
+            boolean isUnprocessed = (status == 503 || status == 504) && "1".equals(head.get("X-Not-Processed"));
+            outcome = isUnprocessed ? Outcome.REJECTED : status / 100 == 4 ? Outcome.UNFIT : Outcome.ERROR;
         }
     }
 
@@ -96,13 +102,13 @@
             return;
         }
         JsonLine line = JsonLine.parse(bytes);
-        // Guards against an answer to another request: it must reach no client.
-        if (!forwarded.id().equals(line.text("id"))) {
-            throw new InvalidMessageException(502, "a line for another req");
+        // An answer to another request must not reach the client.
+        if (!forwardedRequest.id().equals(line.text("id"))) {
+            throw new InvalidMessageException(502, "response line for another request");
         }
-        // Guards against an answer that is not what its description says: it may have run, and counts as broken off.
+        // A response that violates the API description closes the connection; the outcome is RESET, as the request may have run.
         if (lineValidator != null && !lineValidator.accept(bytes)) {
-            throw new InvalidMessageException(502, "a line that its description does not allow");
+            throw new InvalidMessageException(502, "response line violates the API description");
         }
         String state = String.valueOf(line.text("state"));
         switch (state) {
@@ -115,7 +121,7 @@
             case "failed" -> outcome = Outcome.ERROR;
             case "returned" -> outcome = Outcome.REJECTED;
             case "lost" -> outcome = Outcome.RESET;
-            default -> { }  // a state that later backends may add
+            default -> { }  // unknown states may come from newer backends
         }
         if (outcome != null && line.raw("load") != null) {
             loadReport = LoadReportParser.parse(line.raw("load"));
@@ -123,8 +129,8 @@
     }
 
     /**
-     * The client need not wait for the response's end, only for the line that tells the result. What brought no result may
-     * go out again at once: guards against two attempts on open connections where that response never ends.
+     * Reports a result before the response ends. An outcome without a result closes the connection, as the request may be
+     * sent again at once and the backend may never end this response.
      */
     @Override public void onInputProcessed() {
         if (outcome == Outcome.SERVED && !isReported) {
@@ -140,8 +146,8 @@
         if (hasResultLines) {
             client.releaseConnection(pooledConnection);
         } else {
-            // Guards against such an answer that comes twice: without an id the second would end whatever goes out here next,
-            // and one that says "not processed" would have a job sent again that runs.
+            // A backend may send such a response twice. It has no id, so the second would end the next request on this
+            // connection; with X-Not-Processed it would even have a running request sent again.
             pooledConnection.connection.close();
         }
         if (outcome == null && hasResultLines) {
@@ -156,20 +162,21 @@
         reportOutcome(outcome == null ? Outcome.RESET : outcome);
     }
 
-    @Override public void onConnectionFailed(boolean written) {
+    @Override public void onConnectionFailed(boolean requestWritten) {
         client.cancel(responseEndTimeout);
-        reportOutcome(outcome != null ? outcome : written ? Outcome.RESET : Outcome.CONNECT_FAILED);
+        reportOutcome(outcome != null ? outcome : requestWritten ? Outcome.RESET : Outcome.CONNECT_FAILED);
     }
 
-    private void reportOutcome(Outcome ending) {
+    /** Reports an outcome to the engine, once; a result that violates the contract is reported as null. */
+    private void reportOutcome(Outcome reported) {
         if (!isReported) {
             isReported = true;
             client.attemptSettled(attemptId);
-            if (ending == Outcome.SERVED && forwarded.contract() != null) {
-                forwarded.contract().validateResult(result, usable ->
-                    client.engine().attemptEnded(attemptId, ending, usable ? result : null, loadReport));
+            if (reported == Outcome.SERVED && forwardedRequest.contract() != null) {
+                forwardedRequest.contract().validateResult(result, isValid ->
+                    client.engine().attemptEnded(attemptId, reported, isValid ? result : null, loadReport));
             } else {
-                client.engine().attemptEnded(attemptId, ending, result, loadReport);
+                client.engine().attemptEnded(attemptId, reported, result, loadReport);
             }
         }
     }
--- a/src/main/java/badgermux/backend/HttpBackendClient.java
+++ b/src/main/java/badgermux/backend/HttpBackendClient.java
@@ -1,13 +1,13 @@
 package badgermux.backend;
 
 import badgermux.core.AfterInputExecutor;
+import badgermux.core.BackendClient;
 import badgermux.core.Deadlines;
 import badgermux.core.Engine;
-import badgermux.core.BackendClient;
 import badgermux.decide.DispatchPolicy;
-import badgermux.http.OutboundConnection;
-import badgermux.http.MessageReader;
 import badgermux.http.ForwardedRequest;
+import badgermux.http.MessageReader;
+import badgermux.http.OutboundConnection;
 import badgermux.metrics.Metrics;
 import badgermux.metrics.Metrics.Count;
 import io.netty.channel.EventLoopGroup;
@@ -18,20 +18,22 @@
 import java.util.Map;
 import java.util.function.LongSupplier;
 
-/** The backends, their connections, and the attempts and probes on them. */
+/** Sends attempts and probes to backends over HTTP, on pooled connections. */
 public final class HttpBackendClient implements BackendClient<ForwardedRequest> {
-    /** A probe that takes longer tells nothing any more. */
+    /** How long a probe may take; a later answer would be out of date. */
     static final long PROBE_TIMEOUT_MICROS = 500_000;
-    /** How long a connection is kept after its result until the response ends. */
+    /** How long a connection is kept between the result and the end of the response. */
     static final long RESPONSE_END_TIMEOUT_MICROS = 1_000_000;
-    /** An idle connection is closed at this part of the time at which the other side may close it. */
+    /** The part of a backend's idle timeout after which an idle connection is closed, before the backend closes it. */
     private static final double IDLE_TIMEOUT_FRACTION = 0.9;
 
-    /** A backend that the list has named. */
+    /** The address and the idle connections of a listed backend. */
     static final class BackendPool {
         private InetSocketAddress address;
+        /** Last used first. */
         private final ArrayDeque<PooledConnection> idleConnections = new ArrayDeque<>();
 
+        /** Returns the value of the header Host. */
         String hostHeader() {
             return address.getHostString() + ':' + address.getPort();
         }
@@ -47,51 +49,55 @@
     private final long idleTimeoutMicros;
     private int maxConnections;
     private final String probeTarget;
+    /** By id of the backend. */
     private final Map<Long, BackendPool> pools = new HashMap<>();
+    /** Attempts that can still be aborted, by id of the attempt. */
     private final Map<Long, AttemptExchange> attempts = new HashMap<>();
-    /** All idle connections, the one that has been so longest first. */
+    /** The idle connections of all backends, longest idle first. */
     private final LinkedHashSet<PooledConnection> idleConnections = new LinkedHashSet<>();
     private int connectionCount;
 
     /**
-     * Joins the backends to an engine.
+     * Creates a client for an engine.
      *
-     * @param connectTimeout how long a connection may take to come up
-     * @param connectionIdle how long the other side keeps an idle connection at most
-     * @param cap            how many connections there may be in all
-     * @param reports        whether probes bring load reports
+     * @param clock                    the time in microseconds
+     * @param connectTimeoutMicros     how long a connection may take to be established
+     * @param backendIdleTimeoutMicros how long backends keep idle connections
+     * @param maxConnections           limit of the connections to all backends
+     * @param probesReturnLoad         whether probes ask for load reports, and not only for the backend's health
      */
     public HttpBackendClient(EventLoopGroup loop, Deadlines deadlines, LongSupplier clock, Metrics metrics,
-            Engine<ForwardedRequest> engine, long connectTimeout, long connectionIdle, int cap, boolean reports) {
+            Engine<ForwardedRequest> engine, long connectTimeoutMicros, long backendIdleTimeoutMicros, int maxConnections,
+            boolean probesReturnLoad) {
         this.loop = loop;
         afterInput = new AfterInputExecutor(loop.next());
         this.deadlines = deadlines;
         this.clock = clock;
         this.metrics = metrics;
         this.engine = engine;
-        this.connectTimeoutMicros = connectTimeout;
-        this.maxConnections = cap;
-        idleTimeoutMicros = (long) (IDLE_TIMEOUT_FRACTION * connectionIdle);
+        this.connectTimeoutMicros = connectTimeoutMicros;
+        this.maxConnections = maxConnections;
+        idleTimeoutMicros = (long) (IDLE_TIMEOUT_FRACTION * backendIdleTimeoutMicros);
         metrics.registerGauge("backend_connections_open", () -> connectionCount);
-        probeTarget = reports ? "/load" : "/healthz";
+        probeTarget = probesReturnLoad ? "/load" : "/healthz";
     }
 
-    /** Bounds how many connections there may be in all from here on; those beyond it end as they become idle. */
-    public void setMaxConnections(int most) {
-        maxConnections = most;
+    /** Replaces the limit of the connections to all backends; connections beyond it are closed when they become idle. */
+    public void setMaxConnections(int max) {
+        maxConnections = max;
     }
 
-    /** The list names a backend's address. */
+    /** Adds a backend or sets its address. A changed address closes idle connections and withdraws unsent attempts. */
     public void setAddress(long id, InetSocketAddress address) {
-        BackendPool backend = pools.computeIfAbsent(id, x -> new BackendPool());
-        if (!address.equals(backend.address)) {
-            backend.address = address;
-            closeIdleIn(backend);
+        BackendPool pool = pools.computeIfAbsent(id, key -> new BackendPool());
+        if (!address.equals(pool.address)) {
+            pool.address = address;
+            closeIdleIn(pool);
             withdrawUnsentAttempts(id);
         }
     }
 
-    /** The list names a backend no more: what is out there may end, and nothing new begins. */
+    /** Removes a backend that is no longer listed. Attempts that have been sent may end; no new ones start. */
     public void removeBackend(long id) {
         closeIdleConnections(id);
         withdrawUnsentAttempts(id);
@@ -99,28 +105,28 @@
     }
 
     /**
-     * Starts an attempt once all input that has come by now has been dealt with. Guards against an attempt that begins after
-     * its client has left: where the event loop is late, the end of the client's connection lies in the same round of input
-     * as whatever caused the attempt (the request itself, another attempt's outcome), and may be read after it.
+     * Starts an attempt after all input that has arrived by now has been processed. Otherwise an attempt could start after its
+     * client has left: when the event loop is late, the client's disconnect may be in the same round of input as the event
+     * that caused the attempt (the request, or the outcome of another attempt), and be read after it.
      */
-    @Override public void startAttempt(long attempt, long id, ForwardedRequest payload, long limit) {
-        BackendPool backend = pools.get(id);
-        if (backend == null) {
+    @Override public void startAttempt(long attempt, long id, ForwardedRequest payload, long deadlineMicros) {
+        BackendPool pool = pools.get(id);
+        if (pool == null) {
             engine.attemptEnded(attempt, DispatchPolicy.Outcome.CONNECT_FAILED, null, null);
             return;
         }
-        AttemptExchange exchange = new AttemptExchange(payload, backend, limit, attempt, this);
+        AttemptExchange exchange = new AttemptExchange(payload, pool, deadlineMicros, attempt, this);
         attempts.put(attempt, exchange);
-        afterInput.execute(() -> startAttempt(attempt, exchange));
+        afterInput.execute(() -> startExchange(attempt, exchange));
     }
 
-    private void startAttempt(long attempt, AttemptExchange exchange) {
+    private void startExchange(long attempt, AttemptExchange exchange) {
         if (attempts.get(attempt) != exchange) {
-            return;     // it has been taken back meanwhile
+            return;     // aborted or withdrawn since
         }
         PooledConnection pooled = acquireConnection(exchange.pool());
         if (pooled == null) {
-            // Guards against a backend set aside because we have no connection to spare.
+            // MOOT and not a failure, which could eject the backend for this process's lack of connections.
             attempts.remove(attempt);
             engine.attemptEnded(attempt, DispatchPolicy.Outcome.MOOT, null, null);
         } else {
@@ -137,47 +143,48 @@
 
     @Override public boolean withdraw(long attempt) {
         AttemptExchange exchange = attempts.get(attempt);
-        boolean unsent = exchange != null && !exchange.hasStartedWriting();
-        if (unsent) {
+        boolean isUnsent = exchange != null && !exchange.hasStartedWriting();
+        if (isUnsent) {
             abort(attempt);
         }
-        return unsent;
+        return isUnsent;
     }
 
     /**
-     * Guards against a connection that comes up late and takes an attempt to a backend that by then drains, is gone or has
-     * another address: what has not begun to be written is taken back, and the module decides anew.
+     * Withdraws the attempts on a backend that have not been written, so that the policy decides about their requests again.
+     * Otherwise a connection that is established late could take an attempt to a backend that is draining, has been removed
+     * or has another address.
      */
     public void withdrawUnsentAttempts(long id) {
-        BackendPool backend = pools.get(id);
-        attempts.entrySet().stream().filter(e -> e.getValue().pool() == backend && !e.getValue().hasStartedWriting())
+        BackendPool pool = pools.get(id);
+        attempts.entrySet().stream().filter(e -> e.getValue().pool() == pool && !e.getValue().hasStartedWriting())
             .map(Map.Entry::getKey).toList().forEach(engine::withdraw);
     }
 
     @Override public void probe(long id) {
-        BackendPool backend = pools.get(id);
-        PooledConnection pooled = backend == null ? null : acquireConnection(backend);
+        BackendPool pool = pools.get(id);
+        PooledConnection pooled = pool == null ? null : acquireConnection(pool);
         if (pooled == null) {
             engine.probeEnded(id, false, null);
             return;
         }
-        Deadlines.Deadline limit = deadlines.scheduleAfter(PROBE_TIMEOUT_MICROS, pooled.connection::close);
-        pooled.connection.start(new ProbeExchange(probeTarget, backend.hostHeader(), (answered, report) -> {
-            deadlines.cancel(limit);
-            if (answered) {
+        Deadlines.Deadline timeout = deadlines.scheduleAfter(PROBE_TIMEOUT_MICROS, pooled.connection::close);
+        pooled.connection.start(new ProbeExchange(probeTarget, pool.hostHeader(), (isAnswered, report) -> {
+            deadlines.cancel(timeout);
+            if (isAnswered) {
                 releaseConnection(pooled);
             } else {
-                // Guards against such an answer that comes twice: the second would end the request that goes out here next.
+                // A backend may send a failure response twice; on a reused connection the second would end the next request.
                 pooled.connection.close();
             }
-            engine.probeEnded(id, answered, report);
+            engine.probeEnded(id, isAnswered, report);
         }));
     }
 
     @Override public void closeIdleConnections(long id) {
-        BackendPool backend = pools.get(id);
-        if (backend != null) {
-            closeIdleIn(backend);
+        BackendPool pool = pools.get(id);
+        if (pool != null) {
+            closeIdleIn(pool);
         }
     }
 
@@ -185,21 +192,21 @@
         return engine;
     }
 
-    long now() {
+    long nowMicros() {
         return clock.getAsLong();
     }
 
-    /** An attempt's exchange is over, or its result is in: nothing more is to be aborted. */
+    /** An attempt has a result or its exchange has ended; it can no longer be aborted. */
     void attemptSettled(long attempt) {
         attempts.remove(attempt);
     }
 
-    /** An attempt's last byte has left: the backend may run it. */
+    /** An attempt's request has been written completely; the backend may run it. */
     void requestWritten() {
         metrics.increment(Count.FETCHES_WRITTEN);
     }
 
-    /** Guards against a backend that gives its result and never ends its response. */
+    /** Closes the connection unless the timeout is cancelled; a backend may never end a response that has its result. */
     Deadlines.Deadline startResponseEndTimeout(PooledConnection pooled) {
         return deadlines.scheduleAfter(RESPONSE_END_TIMEOUT_MICROS, pooled.connection::close);
     }
@@ -208,9 +215,10 @@
         deadlines.cancel(deadline);
     }
 
-    /** An idle connection, the one used last first, or a new one; null where all that may be open are busy. */
-    private PooledConnection acquireConnection(BackendPool backend) {
-        for (PooledConnection pooled = backend.idleConnections.pollFirst(); pooled != null; pooled = backend.idleConnections.pollFirst()) {
+    /** Returns the last used idle connection or a new one; null if the limit is reached or no descriptor is left. */
+    private PooledConnection acquireConnection(BackendPool pool) {
+        for (PooledConnection pooled = pool.idleConnections.pollFirst(); pooled != null;
+                pooled = pool.idleConnections.pollFirst()) {
             idleConnections.remove(pooled);
             deadlines.cancel(pooled.idleTimeout);
             if (pooled.connection.isReusable()) {
@@ -227,10 +235,10 @@
         }
         metrics.increment(Count.BACKEND_CONNECTS);
         connectionCount++;
-        PooledConnection pooled = new PooledConnection(backend);
-        pooled.connection = new OutboundConnection(loop, deadlines, backend.address, connectTimeoutMicros,
+        PooledConnection pooled = new PooledConnection(pool);
+        pooled.connection = new OutboundConnection(loop, deadlines, pool.address, connectTimeoutMicros,
             MessageReader.MAX_BODY_BYTES, () -> connectionClosed(pooled));
-        // Guards against a backend set aside because the platform has no descriptor left for us.
+        // Without a descriptor the attempt is moot, so that the backend is not ejected for this process's lack of them.
         if (!pooled.connection.hasDescriptor()) {
             metrics.increment(Count.BACKEND_CONNECTIONS_OVER_CAP);
             return null;
@@ -238,7 +246,7 @@
         return pooled;
     }
 
-    /** Keeps a connection for later, if it can be. */
+    /** Returns a connection to its pool if it can be reused; closes it if there are too many. */
     void releaseConnection(PooledConnection pooled) {
         if (connectionCount > maxConnections) {
             pooled.connection.close();
@@ -256,7 +264,7 @@
         }
     }
 
-    private void closeIdleIn(BackendPool backend) {
-        new ArrayDeque<>(backend.idleConnections).forEach(pooled -> pooled.connection.close());
+    private void closeIdleIn(BackendPool pool) {
+        new ArrayDeque<>(pool.idleConnections).forEach(pooled -> pooled.connection.close());
     }
 }
--- a/src/main/java/badgermux/backend/PooledConnection.java
+++ b/src/main/java/badgermux/backend/PooledConnection.java
@@ -7,10 +7,10 @@
 final class PooledConnection {
     final HttpBackendClient.BackendPool pool;
     OutboundConnection connection;
-    /** While it is idle: when it is closed. */
+    /** Closes the connection while it is idle; null before it is first idle. */
     Deadlines.Deadline idleTimeout;
 
-    PooledConnection(HttpBackendClient.BackendPool backend) {
-        this.pool = backend;
+    PooledConnection(HttpBackendClient.BackendPool pool) {
+        this.pool = pool;
     }
 }
--- a/src/main/java/badgermux/backend/ProbeExchange.java
+++ b/src/main/java/badgermux/backend/ProbeExchange.java
@@ -3,16 +3,22 @@
 import badgermux.decide.DispatchPolicy;
 import badgermux.http.InvalidMessageException;
 import badgermux.http.MessageEncoder;
-import badgermux.http.OutboundConnection;
 import badgermux.http.MessageHead;
+import badgermux.http.OutboundConnection;
 import io.netty.buffer.ByteBuf;
 import java.io.ByteArrayOutputStream;
 
-/** A probe: one question, one answer. */
+/** One probe on its connection: a GET request and its response. */
 final class ProbeExchange implements OutboundConnection.Exchange {
-    /** Told once what came of it, after the connection is done with it. */
+    /** Receives the result of the probe, once, after the connection has finished the exchange. */
     interface Listener {
-        void onProbeEnded(boolean answered, DispatchPolicy.LoadReport report);
+        /**
+         * The probe has ended.
+         *
+         * @param isAnswered whether the response has status 200
+         * @param report     null if there is none or it is malformed
+         */
+        void onProbeEnded(boolean isAnswered, DispatchPolicy.LoadReport report);
     }
 
     private final String target;
@@ -21,10 +27,10 @@
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private int status;
 
-    ProbeExchange(String target, String host, Listener answer) {
+    ProbeExchange(String target, String hostHeader, Listener listener) {
         this.target = target;
-        this.hostHeader = host;
-        this.listener = answer;
+        this.hostHeader = hostHeader;
+        this.listener = listener;
     }
 
     @Override public ByteBuf createRequest() {
@@ -43,7 +49,7 @@
         listener.onProbeEnded(status == 200, LoadReportParser.parse(body.toByteArray()));
     }
 
-    @Override public void onConnectionFailed(boolean written) {
+    @Override public void onConnectionFailed(boolean requestWritten) {
         listener.onProbeEnded(false, null);
     }
 }
--- a/src/main/java/badgermux/backend/package-info.java
+++ b/src/main/java/badgermux/backend/package-info.java
@@ -1,2 +1,2 @@
-/** Backend connections, and the attempts and probes on them. */
+/** Connections to backends, and the attempts and probes that run on them. */
 package badgermux.backend;
