--- a/src/main/java/badgermux/backend/AttemptExchange.java
+++ b/src/main/java/badgermux/backend/AttemptExchange.java
@@ -23,7 +23,7 @@
     /** Null until the attempt starts. */
     private PooledConnection pooledConnection;
     private final LineSplitter lineSplitter = new LineSplitter();
-    /** Null until the response tells it. */
+    /** Null until the response has determined it. */
     private Outcome outcome;
     private byte[] result;
     private LoadReport loadReport;
--- a/src/main/java/badgermux/front/Frontend.java
+++ b/src/main/java/badgermux/front/Frontend.java
@@ -270,8 +270,8 @@
                 || !c.isReceivingInPieces() && readUntil - c.lastReadMicros() >= EVICTION_GRACE_MICROS)
             .forEach(FrontendConnection::refuseIncompleteRequest);
         boolean isIdle = connections.isEmpty() && engine.openRequestCount() == 0;
-        // A listener of our own is closed at the second idle check in a row: the kernel may hold connections that are not
-        // accepted yet, and they are accepted between the two checks.
+        // A listener that is not shared is closed at the second idle check in a row: the kernel may hold connections not
+        // accepted yet, which are accepted between the two checks.
         if (isIdle && (isListenerShared || wasIdle)) {
             if (!isListenerShared) {
                 listener.close();
--- a/src/main/java/badgermux/http/ForwardedRequest.java
+++ b/src/main/java/badgermux/http/ForwardedRequest.java
@@ -3,18 +3,23 @@
 import io.netty.buffer.ByteBuf;
 
 /**
- * What of a request goes on to a backend as it came.
+ * The parts of a client's request that are forwarded to a backend unchanged.
  *
- * @param id      the text of X-Request-ID
- * @param requestLine   method, target and version
- * @param headers the header lines that go on, each with its end
- * @param body    the body
- * @param contract   what its answer is held to; null for nothing
+ * @param id          the value of X-Request-ID
+ * @param requestLine method, target and version
+ * @param headers     the forwarded header lines, each with its line end
+ * @param body        the body
+ * @param contract    validates the response; null if it is not validated
  */
 public record ForwardedRequest(String id, String requestLine, String headers, byte[] body, ResponseContract contract) {
-    /** The request to a backend, which is told how long its answer will be waited for. */
-    public ByteBuf encode(String host, long waitMillis) {
-        return MessageEncoder.message(requestLine + "\r\nHost: " + host + "\r\n" + headers + "X-Timeout: " + waitMillis
+    /**
+     * Encodes the request to a backend.
+     *
+     * @param host          the value of the header Host
+     * @param timeoutMillis the value of the header X-Timeout: how long the dispatcher waits for the response
+     */
+    public ByteBuf encode(String host, long timeoutMillis) {
+        return MessageEncoder.message(requestLine + "\r\nHost: " + host + "\r\n" + headers + "X-Timeout: " + timeoutMillis
             + "m\r\nContent-Length: " + body.length + "\r\n", body);
     }
 }
--- a/src/main/java/badgermux/http/JsonLine.java
+++ b/src/main/java/badgermux/http/JsonLine.java
@@ -7,11 +7,12 @@
 import java.util.Map;
 
 /**
- * One line of a backend's answer: a JSON object whose values are kept as the bytes that came. Only a string that is
- * asked for is decoded.
+ * One line of a backend's response: a JSON object. Values are kept as the bytes received; a string is decoded only when it is
+ * read.
  */
 public final class JsonLine {
     private final byte[] bytes;
+    /** Raw values by name. */
     private final Map<String, byte[]> values = new LinkedHashMap<>();
     private int position;
 
@@ -19,42 +20,48 @@
         this.bytes = bytes;
     }
 
+    /**
+     * Parses a line.
+     *
+     * @throws InvalidMessageException if it is not a JSON object
+     */
     public static JsonLine parse(byte[] bytes) throws InvalidMessageException {
         JsonLine line = new JsonLine(bytes);
         line.parseObject();
         return line;
     }
 
-    /** A value as it stands, quotes and all; null where it is absent. */
+    /** Returns a value as received, a string with its quotes; null if it is absent. */
     public byte[] raw(String name) {
         return values.get(name);
     }
 
-    /** A string's content, or any other value as it stands; null where it is absent. */
+    /** Returns the decoded bytes of a string, or any other value as received; null if it is absent. */
     public byte[] decoded(String name) throws InvalidMessageException {
         byte[] value = values.get(name);
         return value == null || value[0] != '"' ? value : decodeString(value);
     }
 
+    /** Returns the text of a string or of any other value; null if it is absent. */
     public String text(String name) throws InvalidMessageException {
-        byte[] content = decoded(name);
-        return content == null ? null : new String(content, StandardCharsets.UTF_8);
+        byte[] value = decoded(name);
+        return value == null ? null : new String(value, StandardCharsets.UTF_8);
     }
 
     private void parseObject() throws InvalidMessageException {
         expect('{');
-        for (boolean more = peekNonBlank() != '}'; more; more = peekNonBlank() == ',') {
+        for (boolean hasNext = peekNonBlank() != '}'; hasNext; hasNext = peekNonBlank() == ',') {
             if (!values.isEmpty()) {
                 expect(',');
             }
-            int from = requireNext('"');
+            int nameStart = requireNext('"');
             skipString();
-            String name = new String(decodeString(Arrays.copyOfRange(bytes, from, position)), StandardCharsets.UTF_8);
+            String name = new String(decodeString(Arrays.copyOfRange(bytes, nameStart, position)), StandardCharsets.UTF_8);
             expect(':');
             peekNonBlank();
-            int start = position;
+            int valueStart = position;
             skipValue();
-            values.put(name, Arrays.copyOfRange(bytes, start, position));
+            values.put(name, Arrays.copyOfRange(bytes, valueStart, position));
         }
         expect('}');
         if (peekNonBlank() != -1) {
@@ -62,6 +69,7 @@
         }
     }
 
+    /** Skips white space before a required character; returns the position of that character. */
     private int requireNext(char c) throws InvalidMessageException {
         if (peekNonBlank() != c) {
             throw malformed();
@@ -69,14 +77,16 @@
         return position;
     }
 
+    /** Skips white space and a required character. */
     private void expect(char c) throws InvalidMessageException {
         requireNext(c);
         position++;
     }
 
-    /** The next byte that is no white space, which it stays on; -1 at the end. */
+    /** Skips white space; returns the byte after it, which is not skipped, or -1 at the end. */
     private int peekNonBlank() {
-        while (position < bytes.length && (bytes[position] == ' ' || bytes[position] == '\t' || bytes[position] == '\r' || bytes[position] == '\n')) {
+        while (position < bytes.length && (bytes[position] == ' ' || bytes[position] == '\t'
+                || bytes[position] == '\r' || bytes[position] == '\n')) {
             position++;
         }
         return position < bytes.length ? bytes[position] : -1;
@@ -92,7 +102,7 @@
         position++;
     }
 
-    /** Passes over a value; nested ones by their brackets, strings in them heeded. */
+    /** Skips a value. Finds the end of an object or an array by counting brackets outside of strings. */
     private void skipValue() throws InvalidMessageException {
         int depth = 0;
         int start = position;
@@ -121,6 +131,7 @@
         }
     }
 
+    /** Decodes a string with its quotes to UTF-8. */
     private static byte[] decodeString(byte[] quoted) throws InvalidMessageException {
         ByteArrayOutputStream out = new ByteArrayOutputStream(quoted.length);
         for (int i = 1; i < quoted.length - 1; i++) {
@@ -129,16 +140,16 @@
                 continue;
             }
             char c = (char) quoted[++i];
-            int plain = "\"\\/bfnrt".indexOf(c);
-            if (plain >= 0) {
-                out.write("\"\\/\b\f\n\r\t".charAt(plain));
+            int simpleEscape = "\"\\/bfnrt".indexOf(c);
+            if (simpleEscape >= 0) {
+                out.write("\"\\/\b\f\n\r\t".charAt(simpleEscape));
             } else {
                 int unit = parseUnicodeEscape(quoted, i);
                 i += 4;
-                boolean pair = Character.isHighSurrogate((char) unit) && i + 6 < quoted.length - 1
+                boolean isPair = Character.isHighSurrogate((char) unit) && i + 6 < quoted.length - 1
                     && quoted[i + 1] == '\\' && quoted[i + 2] == 'u';
                 String text = String.valueOf((char) unit);
-                if (pair) {
+                if (isPair) {
                     text += (char) parseUnicodeEscape(quoted, i + 2);
                     i += 6;
                 }
@@ -148,12 +159,13 @@
         return out.toByteArray();
     }
 
-    private static int parseUnicodeEscape(byte[] quoted, int u) throws InvalidMessageException {
-        if (quoted[u] != 'u' || u + 4 >= quoted.length) {
+    /** Parses the UTF-16 code unit of a Unicode escape, whose u is at an index. */
+    private static int parseUnicodeEscape(byte[] quoted, int index) throws InvalidMessageException {
+        if (quoted[index] != 'u' || index + 4 >= quoted.length) {
             throw malformed();
         }
         try {
-            return Integer.parseInt(new String(quoted, u + 1, 4, StandardCharsets.ISO_8859_1), 16);
+            return Integer.parseInt(new String(quoted, index + 1, 4, StandardCharsets.ISO_8859_1), 16);
         } catch (NumberFormatException e) {
             throw malformed();
         }
--- a/src/main/java/badgermux/http/LineSplitter.java
+++ b/src/main/java/badgermux/http/LineSplitter.java
@@ -5,26 +5,26 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Cuts a body that comes in pieces into lines. */
+/** Splits a body that is received in pieces into lines. */
 public final class LineSplitter {
     private final ByteArrayOutputStream partialLine = new ByteArrayOutputStream();
 
-    /** The lines that these bytes complete, without their ends; empty ones are left out. */
+    /** Adds the next bytes, and returns the lines that they complete, without line ends and without blank lines. */
     public List<byte[]> add(byte[] bytes) {
         List<byte[]> lines = new ArrayList<>();
-        int from = 0;
+        int lineStart = 0;
         for (int i = 0; i < bytes.length; i++) {
             if (bytes[i] == '\n') {
-                partialLine.write(bytes, from, i - from);
-                from = i + 1;
+                partialLine.write(bytes, lineStart, i - lineStart);
+                lineStart = i + 1;
                 completeLine(lines);
             }
         }
-        partialLine.write(bytes, from, bytes.length - from);
+        partialLine.write(bytes, lineStart, bytes.length - lineStart);
         return lines;
     }
 
-    /** What came after the last line end, if anything did. */
+    /** Returns the bytes after the last line end as a line, unless they are blank. */
     public List<byte[]> remainder() {
         List<byte[]> lines = new ArrayList<>();
         completeLine(lines);
--- a/src/main/java/badgermux/http/MessageHead.java
+++ b/src/main/java/badgermux/http/MessageHead.java
@@ -6,23 +6,29 @@
 import java.util.Set;
 import java.util.regex.Pattern;
 
-/** A message's first line and its header lines. Text is ISO 8859-1, so that each char is a byte as it came. */
+/** The start line and the header lines of a message. The text is decoded as ISO 8859-1, so each char is one byte. */
 public final class MessageHead {
+    /** A header line; {@code text} is the line as received. */
     private record HeaderLine(String name, String value, String text) { }
 
     private static final String CRLF = "\r\n";
-    /** Compiled once: a process that has just started interprets all its code, and compiling a pattern is a lot of it. */
+    /** Compiled once, as a process that has just started interprets its code and compiles a pattern slowly. */
     private static final Pattern STATUS_LINE = Pattern.compile("HTTP/1\\.[01] [1-5][0-9][0-9]( .*)?");
+    /** Characters that a token may not contain (RFC 9110, 5.6.2). */
     private static final String DELIMITERS = "()<>@,;:\\\"/[]?={}";
 
     private final String startLine;
     private final List<HeaderLine> lines = new ArrayList<>();
 
-    private MessageHead(String first) {
-        this.startLine = first;
+    private MessageHead(String startLine) {
+        this.startLine = startLine;
     }
 
-    /** Reads a head without its closing empty line. */
+    /**
+     * Parses a head without the empty line at its end. The start line is checked by {@link #requestLine} or {@link #status}.
+     *
+     * @throws InvalidMessageException with status 400 if a header line is malformed
+     */
     static MessageHead parse(String text) throws InvalidMessageException {
         int end = lineEnd(text, 0);
         MessageHead head = new MessageHead(text.substring(0, end));
@@ -34,7 +40,7 @@
         return head;
     }
 
-    /** Where the line that starts there ends: at its line end, or at the end of the text. */
+    /** Returns where the line that starts at an index ends: before the next CRLF, or at the end of the text. */
     private static int lineEnd(String text, int start) {
         int end = text.indexOf(CRLF, start);
         return end < 0 ? text.length() : end;
@@ -58,11 +64,12 @@
         return true;
     }
 
+    /** Returns the request line or the status line. */
     public String startLine() {
         return startLine;
     }
 
-    /** The value of a header; null where it is absent. */
+    /** Returns the first value of a header; null if it is absent. */
     public String get(String name) {
         for (HeaderLine line : lines) {
             if (line.name.equalsIgnoreCase(name)) {
@@ -72,7 +79,7 @@
         return null;
     }
 
-    /** All values of a header, in their order. */
+    /** Returns all values of a header in their order; an empty list if it is absent. */
     public List<String> values(String name) {
         List<String> values = List.of();
         for (HeaderLine line : lines) {
@@ -88,11 +95,11 @@
         return values;
     }
 
-    /** Whether a header's comma-separated value holds a word. */
-    public boolean hasListItem(String name, String word) {
+    /** Whether a comma-separated header contains an item, ignoring case. */
+    public boolean hasListItem(String name, String expectedItem) {
         for (String value : values(name)) {
             for (String item : value.split(",")) {
-                if (item.strip().equalsIgnoreCase(word)) {
+                if (item.strip().equalsIgnoreCase(expectedItem)) {
                     return true;
                 }
             }
@@ -100,26 +107,31 @@
         return false;
     }
 
-    /** Appends the header lines as they came, but for those named (in lower case). */
-    public void appendHeaderLines(StringBuilder to, Set<String> except) {
+    /** Appends the header lines as received, except those with the given names (in lower case). */
+    public void appendHeaderLines(StringBuilder target, Set<String> excludedNames) {
         for (HeaderLine line : lines) {
-            if (!except.contains(line.name.toLowerCase(Locale.ROOT))) {
-                to.append(line.text).append("\r\n");
+            if (!excludedNames.contains(line.name.toLowerCase(Locale.ROOT))) {
+                target.append(line.text).append("\r\n");
             }
         }
     }
 
-    /** The words of a request line: method, target, version. */
+    /**
+     * Parses the request line into method, target and version.
+     *
+     * @throws InvalidMessageException with status 400 if it is malformed or the version is not HTTP/1.1
+     */
     public String[] requestLine() throws InvalidMessageException {
         String[] words = startLine.split(" ", -1);
-        boolean version = words.length == 3 && words[2].equals("HTTP/1.1");
-        boolean visible = words.length > 1 && isVisibleText(words[1]);
-        if (!version || !visible || !isToken(words[0]) || words[0].isEmpty() || words[1].isEmpty()) {
+        boolean hasVersion = words.length == 3 && words[2].equals("HTTP/1.1");
+        boolean hasVisibleTarget = words.length > 1 && isVisibleText(words[1]);
+        if (!hasVersion || !hasVisibleTarget || !isToken(words[0]) || words[0].isEmpty() || words[1].isEmpty()) {
             throw new InvalidMessageException(400, "malformed request line");
         }
         return words;
     }
 
+    /** Whether a target has neither blanks nor control characters. */
     private static boolean isVisibleText(String target) {
         for (int i = 0; i < target.length(); i++) {
             if (target.charAt(i) <= ' ' || target.charAt(i) == 127) {
@@ -129,7 +141,11 @@
         return true;
     }
 
-    /** The status of a response line. */
+    /**
+     * Parses the status of a status line.
+     *
+     * @throws InvalidMessageException with status 502 if the line is malformed
+     */
     public int status() throws InvalidMessageException {
         if (!STATUS_LINE.matcher(startLine).matches()) {
             throw new InvalidMessageException(502, "malformed status line");
@@ -139,7 +155,7 @@
 
     /** Whether the connection stays open after this message. */
     public boolean isKeepAlive() {
-        boolean old = startLine.startsWith("HTTP/1.0") || startLine.endsWith("HTTP/1.0");
-        return !hasListItem("Connection", "close") && (!old || hasListItem("Connection", "keep-alive"));
+        boolean isHttp10 = startLine.startsWith("HTTP/1.0") || startLine.endsWith("HTTP/1.0");
+        return !hasListItem("Connection", "close") && (!isHttp10 || hasListItem("Connection", "keep-alive"));
     }
 }
--- a/src/main/java/badgermux/http/MessageReader.java
+++ b/src/main/java/badgermux/http/MessageReader.java
@@ -6,23 +6,26 @@
 import java.util.List;
 
 /**
- * Reads one HTTP/1.1 message after another from a connection, in whatever pieces it comes: the head, then a body by
- * Content-Length, in chunks or, for a response, up to the connection's end.
+ * Incremental parser of the HTTP/1.1 messages on one connection. A body ends by Content-Length, by its last chunk or, in a
+ * response, at the end of the connection.
  */
 public final class MessageReader {
-    /** Told of a message's parts in order. */
+    /** Receives the parts of a message, in their order. */
     public interface Listener {
+        /** The head is complete. Not called for interim responses. */
         void onHead(MessageHead head) throws InvalidMessageException;
 
-        /** The next bytes of the body, framing taken off. */
+        /** The next bytes of the body, without framing. */
         void onBody(byte[] bytes) throws InvalidMessageException;
     }
 
-    /** The longest head, and the longest line that tells a chunk's size. */
+    /** The longest head, and the longest trailer. */
     public static final int MAX_HEAD_BYTES = 16 * 1024;
+    /** The longest line with a chunk's size. */
     private static final int MAX_CHUNK_LINE_BYTES = 256;
+    /** The longest method of a request. */
     private static final int MAX_METHOD_BYTES = 16;
-    /** The longest body of the platform's protocol. */
+    /** The longest body of requests to backends and of their responses. */
     public static final int MAX_BODY_BYTES = 64 * 1024;
 
     private enum State { HEAD, FIXED_LENGTH, CHUNK_SIZE, CHUNK_DATA, CHUNK_END, TRAILER, UNTIL_CLOSE }
@@ -31,29 +34,41 @@
     private final int maxBodyBytes;
     private final Listener listener;
     private State state = State.HEAD;
+    /** The head or line that is being read. */
     private byte[] line = new byte[512];
     private int lineLength;
     private int leadingLineEnds;
     private boolean isMethodComplete;
     private int trailerLength;
+    /** Bytes to come of a body of fixed length or of a chunk. */
     private long remaining;
     private long bodyLength;
 
-    public MessageReader(boolean responses, int maxBody, Listener sink) {
-        this.readsResponses = responses;
-        this.maxBodyBytes = maxBody;
-        this.listener = sink;
+    /**
+     * Creates a parser for one connection.
+     *
+     * @param readsResponses whether the messages are responses, not requests
+     */
+    public MessageReader(boolean readsResponses, int maxBodyBytes, Listener listener) {
+        this.readsResponses = readsResponses;
+        this.maxBodyBytes = maxBodyBytes;
+        this.listener = listener;
     }
 
-    /** Whether nothing of a next message has come yet. */
+    /** Whether no part of the next message has been read. */
     public boolean isBetweenMessages() {
         return state == State.HEAD && lineLength == 0;
     }
 
-    /** Reads up to the end of one message at most; true if that end has come. What follows it stays unread. */
+    /**
+     * Reads up to the end of one message at most; input after it stays unread.
+     *
+     * @return whether the message is complete
+     * @throws InvalidMessageException if the message is malformed or too long
+     */
     public boolean read(ByteBuf in) throws InvalidMessageException {
         while (in.isReadable()) {
-            boolean ended = switch (state) {
+            boolean isComplete = switch (state) {
                 case HEAD -> readHead(in);
                 case FIXED_LENGTH, CHUNK_DATA -> readData(in);
                 case CHUNK_SIZE -> readLine(in, MAX_CHUNK_LINE_BYTES) && startChunk();
@@ -65,24 +80,24 @@
                     yield false;
                 }
             };
-            if (ended) {
+            if (isComplete) {
                 return true;
             }
         }
         return false;
     }
 
-    /** The connection has ended; whether that ends a message well. */
+    /** Ends the input; returns whether the end of the connection completes a message. */
     public boolean endOfInput() {
-        boolean whole = state == State.UNTIL_CLOSE;
+        boolean isComplete = state == State.UNTIL_CLOSE;
         state = State.HEAD;
-        return whole;
+        return isComplete;
     }
 
     private boolean readHead(ByteBuf in) throws InvalidMessageException {
         while (in.isReadable()) {
             byte b = in.readByte();
-            // Some clients end a body with a line end that is not counted in it.
+            // Some clients send a line end after a body that its Content-Length does not include.
             if (lineLength == 0 && (b == '\r' || b == '\n') && leadingLineEnds < 2) {
                 leadingLineEnds++;
                 continue;
@@ -106,12 +121,12 @@
     private boolean startBody(MessageHead head) throws InvalidMessageException {
         int status = readsResponses ? head.status() : 0;
         if (readsResponses && status < 200) {
-            return false;   // an interim response: the real one follows
+            return false;   // interim response: the final one follows
         }
         bodyLength = 0;
         List<String> lengths = head.values("Content-Length");
         List<String> codings = head.values("Transfer-Encoding");
-        // Guards against two readers that see two ends of one message.
+        // With an ambiguous length, two parsers could find different ends of the message.
         if (!codings.isEmpty() && (!lengths.isEmpty() || codings.size() > 1
             || !codings.get(0).equalsIgnoreCase("chunked"))) {
             throw new InvalidMessageException(400, "transfer coding that is not understood");
@@ -120,12 +135,12 @@
         if (remaining > maxBodyBytes) {
             throw new InvalidMessageException(413, "body too long");
         }
-        boolean bare = status == 204 || status == 304;
-        if (!codings.isEmpty() && !bare) {
+        boolean isWithoutBody = status == 204 || status == 304;
+        if (!codings.isEmpty() && !isWithoutBody) {
             state = State.CHUNK_SIZE;
-        } else if (remaining > 0 && !bare) {
+        } else if (remaining > 0 && !isWithoutBody) {
             state = State.FIXED_LENGTH;
-        } else if (readsResponses && lengths.isEmpty() && !bare) {
+        } else if (readsResponses && lengths.isEmpty() && !isWithoutBody) {
             state = State.UNTIL_CLOSE;
         }
         listener.onHead(head);
@@ -141,6 +156,7 @@
         return Long.parseLong(first);
     }
 
+    /** Passes the available bytes of a body or a chunk on; returns whether the message is complete. */
     private boolean readData(ByteBuf in) throws InvalidMessageException {
         byte[] bytes = new byte[(int) Math.min(remaining, in.readableBytes())];
         in.readBytes(bytes);
@@ -153,9 +169,9 @@
         if (remaining > 0 || state == State.UNTIL_CLOSE) {
             return false;
         }
-        boolean ended = state == State.FIXED_LENGTH;
-        state = ended ? State.HEAD : State.CHUNK_END;
-        return ended;
+        boolean isComplete = state == State.FIXED_LENGTH;
+        state = isComplete ? State.HEAD : State.CHUNK_END;
+        return isComplete;
     }
 
     private boolean startChunk() throws InvalidMessageException {
@@ -196,12 +212,12 @@
         return true;
     }
 
-    /** Gathers a line; true once it is whole, with its end. */
-    private boolean readLine(ByteBuf in, int max) throws InvalidMessageException {
+    /** Reads up to the end of a line; returns whether the line is complete. */
+    private boolean readLine(ByteBuf in, int maxBytes) throws InvalidMessageException {
         while (in.isReadable()) {
             byte b = in.readByte();
             checkControlByte(b);
-            append(b, max, 400);
+            append(b, maxBytes, 400);
             if (b == '\n') {
                 return true;
             }
@@ -209,13 +225,14 @@
         return false;
     }
 
+    /** Returns the line without its end, and starts the next line. */
     private String takeLineText() {
         String text = new String(line, 0, lineLength - 2, StandardCharsets.ISO_8859_1);
         lineLength = 0;
         return text;
     }
 
-    /** Guards against rubbish that is waited for as if it were the beginning of a request. */
+    /** Rejects input that can't be a method at once, instead of waiting for the rest of a request line. */
     private void checkMethodByte(byte b) throws InvalidMessageException {
         isMethodComplete = b == ' ' && lineLength > 0;
         if (!isMethodComplete && (b < 'A' || b > 'Z' || lineLength >= MAX_METHOD_BYTES)) {
@@ -223,16 +240,16 @@
         }
     }
 
-    /** Guards against bytes that another reader would take for a line's end, or for nothing at all. */
+    /** Rejects control characters and a CR or LF alone, which other parsers may take for a line end or ignore. */
     private void checkControlByte(byte b) throws InvalidMessageException {
-        boolean afterReturn = lineLength > 0 && line[lineLength - 1] == '\r';
-        if (afterReturn != (b == '\n') || b >= 0 && b < ' ' && b != '\t' && b != '\r' && b != '\n' || b == 127) {
+        boolean isAfterReturn = lineLength > 0 && line[lineLength - 1] == '\r';
+        if (isAfterReturn != (b == '\n') || b >= 0 && b < ' ' && b != '\t' && b != '\r' && b != '\n' || b == 127) {
             throw new InvalidMessageException(400, "control character, or half a line end");
         }
     }
 
-    private void append(byte b, int max, int status) throws InvalidMessageException {
-        if (lineLength == max) {
+    private void append(byte b, int maxBytes, int status) throws InvalidMessageException {
+        if (lineLength == maxBytes) {
             throw new InvalidMessageException(status, "line or head too long");
         }
         if (lineLength == line.length) {
--- a/src/main/java/badgermux/http/OutboundConnection.java
+++ b/src/main/java/badgermux/http/OutboundConnection.java
@@ -16,22 +16,27 @@
 import java.net.InetSocketAddress;
 import org.tinylog.Logger;
 
-/** A connection that we opened. It carries one exchange at a time, and sends nothing twice. */
+/** A connection that this process opens. It carries one exchange at a time and never sends a request twice. */
 public final class OutboundConnection extends ChannelInboundHandlerAdapter implements MessageReader.Listener {
-    /** A request and what comes back. */
+    /** A request and its response. Ends with {@link #onResponseEnded} or {@link #onConnectionFailed}, unless it is aborted. */
     public interface Exchange extends MessageReader.Listener {
+        /** Encodes the request; called when it is written. */
         ByteBuf createRequest();
 
-        /** The request has left whole: told once, also where nobody waits for what comes back any more. */
+        /** The request has been written completely. Called at most once, also after the exchange has been aborted. */
         default void onRequestWritten() { }
 
-        /** The response is whole. The connection may be used again by then, if {@link #isReusable}. */
+        /** The response is complete. The connection can be used again already, if {@link #isReusable}. */
         void onResponseEnded();
 
-        /** The connection failed first, or the response made no sense; {@code written}: the request had left whole. */
+        /**
+         * The connection failed before the response was complete, or the response is invalid.
+         *
+         * @param requestWritten whether the request had been written completely
+         */
         void onConnectionFailed(boolean requestWritten);
 
-        /** All bytes that have come are read, and the response goes on. */
+        /** All input that has arrived has been processed, and the response is not complete. */
         default void onInputProcessed() { }
     }
 
@@ -41,48 +46,60 @@
     private final Channel channel;
     private final AfterInputExecutor afterInput;
     private Deadlines.Deadline connectTimeout;
+    /** Null while the connection is idle. */
     private Exchange exchange;
     private boolean isConnected;
     private boolean isRequestWritten;
     private boolean mayBeReused = true;
     private boolean isClosed;
 
-    /** Begins to connect; {@code onClose} is run once, when the connection has ended in whatever way. */
-    public OutboundConnection(EventLoopGroup loop, Deadlines deadlines, InetSocketAddress to, long connectTimeout,
-            int maxBody, Runnable onClose) {
+    /**
+     * Starts to connect.
+     *
+     * @param connectTimeoutMicros how long connecting may take
+     * @param maxBodyBytes         the longest body of a response
+     * @param onClose              run once, when the connection is closed or could not be established
+     */
+    public OutboundConnection(EventLoopGroup loop, Deadlines deadlines, InetSocketAddress address, long connectTimeoutMicros,
+            int maxBodyBytes, Runnable onClose) {
         this.deadlines = deadlines;
         this.onClose = onClose;
-        reader = new MessageReader(true, maxBody, this);
-        this.connectTimeout = deadlines.scheduleAfter(connectTimeout, this::close);
+        reader = new MessageReader(true, maxBodyBytes, this);
+        connectTimeout = deadlines.scheduleAfter(connectTimeoutMicros, this::close);
         ChannelFuture connecting = new Bootstrap().group(loop).channel(NioSocketChannel.class).handler(this)
-            .option(ChannelOption.TCP_NODELAY, true).option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 0).connect(to);
+            .option(ChannelOption.TCP_NODELAY, true).option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 0).connect(address);
         channel = connecting.channel();
         EventLoop owner = loop.next();
         afterInput = new AfterInputExecutor(owner);
         connecting.addListener(done -> {
-            // Guards against a socket that could not be opened, for want of descriptors: that is told on another thread.
+            // Netty reports on another thread that a socket could not be opened for lack of a descriptor.
             if (owner.inEventLoop()) {
-                isConnected(done.isSuccess());
+                connectEnded(done.isSuccess());
             } else {
-                owner.execute(() -> isConnected(done.isSuccess()));
+                owner.execute(() -> connectEnded(done.isSuccess()));
             }
         });
     }
 
-    private void isConnected(boolean up) {
+    private void connectEnded(boolean isSuccess) {
         deadlines.cancel(connectTimeout);
-        if (up) {
-            // Guards against a request written for a client whose end lies in the same round of input as this.
+        if (isSuccess) {
+            // Writes after this round of input, in which the disconnect of the request's client may be read.
             afterInput.execute(this::writeFirstRequest);
         } else {
             close();
         }
     }
 
-    /** Sends an exchange's request, as soon as the connection is up. */
+    /**
+     * Starts an exchange, whose request is written as soon as the connection is established. On a closed connection it fails
+     * at once.
+     *
+     * @throws IllegalStateException if an exchange is under way
+     */
     public void start(Exchange next) {
         if (exchange != null) {
-            throw new IllegalStateException("a second exchange on one connection");
+            throw new IllegalStateException("connection already has an exchange");
         }
         if (isClosed) {
             next.onConnectionFailed(false);
@@ -114,29 +131,30 @@
         }
     }
 
-    /** Whether there was a descriptor for it; if not, {@code onClose} is run soon, as for one that does not come up. */
+    /** Whether a descriptor was left for the connection; if not, {@code onClose} runs soon, as after a failed connect. */
     public boolean hasDescriptor() {
         return channel.isOpen();
     }
 
+    /** Whether another exchange can start. */
     public boolean isReusable() {
         return mayBeReused && !isClosed && exchange == null;
     }
 
-    /** Drops the exchange, of which nothing more is told, and the connection with it. */
+    /** Closes the connection without notifying its exchange. */
     public void abort() {
         exchange = null;
         close();
     }
 
-    /** Closes; an exchange under way is broken by it. */
+    /** Closes the connection; an exchange under way fails. */
     public void close() {
         if (isClosed) {
             return;
         }
         isClosed = true;
         deadlines.cancel(connectTimeout);
-        // Guards against an exception in place of all that follows: what was never opened can't be closed.
+        // Closing a channel that was never opened would throw and skip the rest.
         if (hasDescriptor()) {
             channel.close();
         }
@@ -145,24 +163,24 @@
     }
 
     private void failExchange() {
-        Exchange broken = exchange;
+        Exchange failed = exchange;
         exchange = null;
-        if (broken != null) {
-            broken.onConnectionFailed(isRequestWritten);
+        if (failed != null) {
+            failed.onConnectionFailed(isRequestWritten);
         }
     }
 
     @Override public void channelRead(ChannelHandlerContext ctx, Object message) {
         ByteBuf in = (ByteBuf) message;
         try {
-            // Bytes that no request asked for: what follows on this connection can't be trusted.
+            // Input without a request: later responses on this connection could not be assigned to their requests.
             if (exchange == null) {
                 close();
                 return;
             }
             Exchange reading = exchange;
-            boolean ended = reader.read(in);
-            if (ended && exchange == reading) {
+            boolean isComplete = reader.read(in);
+            if (isComplete && exchange == reading) {
                 mayBeReused &= isRequestWritten && !in.isReadable();
                 endExchange(reading);
             } else if (exchange == reading) {
@@ -191,7 +209,7 @@
     }
 
     @Override public void onBody(byte[] bytes) throws InvalidMessageException {
-        // What came before may have had this exchange dropped.
+        // Processing the input before may have aborted the exchange.
         if (exchange != null) {
             exchange.onBody(bytes);
         }
@@ -207,7 +225,7 @@
 
     @Override public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (!(cause instanceof IOException)) {
-            Logger.error(cause, "exception on a connection that we opened");
+            Logger.error(cause, "Unexpected exception on an outbound connection");
         }
         close();
     }
--- a/src/main/java/badgermux/http/ResponseContract.java
+++ b/src/main/java/badgermux/http/ResponseContract.java
@@ -2,20 +2,20 @@
 
 import java.util.function.Consumer;
 
-/** What a request's answer is held to, from when the request was taken until its final answer. */
+/** Validates the response to one request, from when the request is taken until its final answer. */
 public interface ResponseContract {
-    /** The judge of one answer's lines. */
+    /** Validates the lines of one response, in their order. */
     interface LineValidator {
-        /** Whether this line may come now. */
+        /** Whether this line is allowed after the lines before it. */
         boolean accept(byte[] line);
     }
 
-    /** The judge of an answer that begins with this head; null where its lines are not judged. */
+    /** Returns a validator for the lines of a response with this head; null if its lines are not validated. */
     LineValidator lineValidator(MessageHead head);
 
-    /** Tells, at once or later but on the event loop, whether a result may be served. */
-    void validateResult(byte[] result, Consumer<Boolean> usable);
+    /** Validates a result. Calls {@code onValidated} with whether it is valid, at once or later, on the event loop. */
+    void validateResult(byte[] result, Consumer<Boolean> onValidated);
 
-    /** The request has its final answer, or nobody waits for it any more. */
+    /** The request has its final answer, or its client has left. */
     void release();
 }
--- a/src/main/java/badgermux/http/package-info.java
+++ b/src/main/java/badgermux/http/package-info.java
@@ -1,2 +1,2 @@
-/** HTTP/1.1 as the platform speaks it: incremental parsers, encoders, and the connections that we open. */
+/** HTTP/1.1: incremental parsers, encoders, and outbound connections. */
 package badgermux.http;
--- a/src/test/java/badgermux/backend/LoadReportParserTest.java
+++ b/src/test/java/badgermux/backend/LoadReportParserTest.java
@@ -7,6 +7,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
+/** Tests the parser of backends' load reports. */
 class LoadReportParserTest {
     private static DispatchPolicy.LoadReport parse(String text) {
         return LoadReportParser.parse(text == null ? null : text.getBytes(StandardCharsets.UTF_8));
--- a/src/test/java/badgermux/front/AcceptFailureHandlerTest.java
+++ b/src/test/java/badgermux/front/AcceptFailureHandlerTest.java
@@ -11,6 +11,7 @@
 import java.util.concurrent.atomic.AtomicReference;
 import org.junit.jupiter.api.Test;
 
+/** Tests that failures to accept do not reach Netty's own handler. */
 class AcceptFailureHandlerTest {
     @Test void acceptFailurePausesAcceptingAndIsNotPassedOn() {
         AtomicInteger pauses = new AtomicInteger();
--- a/src/test/java/badgermux/http/MessageReaderTest.java
+++ b/src/test/java/badgermux/http/MessageReaderTest.java
@@ -15,12 +15,13 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/** Tests the parsers of messages, and of the JSON lines in the bodies of responses. */
 class MessageReaderTest implements MessageReader.Listener {
-    private final List<String> seen = new ArrayList<>();
+    private final List<String> startLines = new ArrayList<>();
     private final StringBuilder bodies = new StringBuilder();
 
     @Override public void onHead(MessageHead head) {
-        seen.add(head.startLine());
+        startLines.add(head.startLine());
     }
 
     @Override public void onBody(byte[] bytes) {
@@ -31,48 +32,52 @@
         return Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1);
     }
 
-    private int read(boolean responses, int piece, String text) throws InvalidMessageException {
-        MessageReader reader = new MessageReader(responses, 100, this);
-        int ended = 0;
-        for (int from = 0; from < text.length(); from += piece) {
-            ByteBuf in = bytes(text.substring(from, Math.min(text.length(), from + piece)));
+    /** Reads a text in pieces of a size; returns the number of complete messages. */
+    private int read(boolean readsResponses, int pieceSize, String text) throws InvalidMessageException {
+        MessageReader reader = new MessageReader(readsResponses, 100, this);
+        int messageCount = 0;
+        for (int start = 0; start < text.length(); start += pieceSize) {
+            ByteBuf in = bytes(text.substring(start, Math.min(text.length(), start + pieceSize)));
             while (in.isReadable()) {
-                ended += reader.read(in) ? 1 : 0;
+                messageCount += reader.read(in) ? 1 : 0;
             }
         }
-        return ended;
+        return messageCount;
     }
 
     @ParameterizedTest @ValueSource(ints = {1, 2, 3, 7, 1000})
-    void messagesAreReadInPiecesOfAnySize(int piece) throws InvalidMessageException {
+    void messagesAreReadInPiecesOfAnySize(int pieceSize) throws InvalidMessageException {
         String first = "POST /a HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc";
         String second = "POST /b HTTP/1.1\r\nTransfer-Encoding: Chunked\r\n\r\n"
             + "2\r\nde\r\n1;x=y\r\nf\r\n0\r\nT: t\r\n\r\n";
         String third = "GET /c HTTP/1.1\r\n\r\n";
-        assertEquals(3, read(false, piece, first + second + third));
-        assertEquals(List.of("POST /a HTTP/1.1", "POST /b HTTP/1.1", "GET /c HTTP/1.1"), seen);
+        assertEquals(3, read(false, pieceSize, first + second + third));
+        assertEquals(List.of("POST /a HTTP/1.1", "POST /b HTTP/1.1", "GET /c HTTP/1.1"), startLines);
         assertEquals("abcdef", bodies.toString());
     }
 
-    /** Each message cut at each byte, and at each two: what is read is the same, and nothing of it too early. */
-    @ParameterizedTest @ValueSource(strings = {"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc", "\r\nGET / HTTP/1.1\r\n\r\n",
+    /** Splits each message at every pair of positions: the message is the same, and complete only with the last piece. */
+    @ParameterizedTest
+    @ValueSource(strings = {"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc", "\r\nGET / HTTP/1.1\r\n\r\n",
         "POST /b HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1;x=y\r\nc\r\n0\r\nT: t\r\n\r\n",
-        "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n",
+        "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc",
+        "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"})
     void messageMayBeSplitAtAnyByte(String text) throws InvalidMessageException {
-        boolean response = text.startsWith("HTTP");
-        assertEquals(1, read(response, text.length(), text));
-        List<String> heads = List.copyOf(seen);
-        String body = bodies.toString();
-        for (int one = 0; one < text.length(); one++) {
-            for (int two = one; two < text.length(); two++) {
-                seen.clear();
+        boolean isResponse = text.startsWith("HTTP");
+        assertEquals(1, read(isResponse, text.length(), text));
+        List<String> expectedStartLines = List.copyOf(startLines);
+        String expectedBody = bodies.toString();
+        for (int first = 0; first < text.length(); first++) {
+            for (int second = first; second < text.length(); second++) {
+                startLines.clear();
                 bodies.setLength(0);
-                MessageReader reader = new MessageReader(response, 100, this);
-                assertFalse(reader.read(bytes(text.substring(0, one))) || reader.read(bytes(text.substring(one, two))));
-                assertTrue(reader.read(bytes(text.substring(two))));
-                assertEquals(heads, seen);
-                assertEquals(body, bodies.toString());
+                MessageReader reader = new MessageReader(isResponse, 100, this);
+                assertFalse(reader.read(bytes(text.substring(0, first)))
+                    || reader.read(bytes(text.substring(first, second))));
+                assertTrue(reader.read(bytes(text.substring(second))));
+                assertEquals(expectedStartLines, startLines);
+                assertEquals(expectedBody, bodies.toString());
             }
         }
     }
@@ -86,7 +91,7 @@
     @Test void interimResponseIsSkippedAndBodyEndsAtClose() throws InvalidMessageException {
         MessageReader reader = new MessageReader(true, 100, this);
         assertFalse(reader.read(bytes("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\n\r\nto the end")));
-        assertEquals(List.of("HTTP/1.1 200 OK"), seen);
+        assertEquals(List.of("HTTP/1.1 200 OK"), startLines);
         assertTrue(reader.endOfInput());
         assertEquals("to the end", bodies.toString());
     }
@@ -126,9 +131,9 @@
         LineSplitter lines = new LineSplitter();
         String text = "{\"id\":\"a\",\"n\":[1,{\"x\":\"}\"}], \"result\":\"q\\\"\\u00e9\\ud83d\\ude00\\n\"}";
         assertEquals(0, lines.add(text.substring(0, 9).getBytes(StandardCharsets.UTF_8)).size());
-        List<byte[]> whole = lines.add((text.substring(9) + "\n\n{").getBytes(StandardCharsets.UTF_8));
-        assertEquals(1, whole.size());
-        JsonLine line = JsonLine.parse(whole.get(0));
+        List<byte[]> completeLines = lines.add((text.substring(9) + "\n\n{").getBytes(StandardCharsets.UTF_8));
+        assertEquals(1, completeLines.size());
+        JsonLine line = JsonLine.parse(completeLines.get(0));
         assertEquals("q\"\u00e9\ud83d\ude00\n", line.text("result"));
         assertEquals("[1,{\"x\":\"}\"}]", new String(line.raw("n"), StandardCharsets.UTF_8));
         assertEquals(1, lines.remainder().size());
