--- a/src/main/java/badgermux/DescriptorBudget.java
+++ b/src/main/java/badgermux/DescriptorBudget.java
@@ -1,24 +1,29 @@
 package badgermux;
 
 /**
- * How descriptors are shared out.
+ * Divides the process's file descriptors among the kinds of connections.
  *
- * @param clientConnections    connections of clients that are served at once: those with requests hold a third of all at most
- * @param excessClientConnections    how many more are let in for a moment, to be told so
- * @param backendConnections connections to backends: each open request may need one
- * @param consoleConnections    operators' calls
+ * @param clientConnections       client connections that are served at once; those with an open request take a third of
+ *                                all descriptors at most
+ * @param excessClientConnections client connections accepted beyond that, only to be refused
+ * @param backendConnections      connections to backends; each open request may need one
+ * @param consoleConnections      operators' connections to the console
  */
 record DescriptorBudget(int clientConnections, int excessClientConnections, int backendConnections, int consoleConnections) {
-    /** Descriptors that are no connections: files, the selector, the listeners, discovery, links, some over. */
-    private static final int MAX_RESERVE = 48, MIN_RESERVE = 22;
-    private static final int MAX_CONSOLE_CONNECTIONS = 64, MIN_CONSOLE_CONNECTIONS = 6;
+    /** Upper bound of the reserve for everything else: files, the selector, listeners, discovery, links and a margin. */
+    private static final int MAX_RESERVE = 48;
+    /** Lower bound of that reserve. */
+    private static final int MIN_RESERVE = 22;
+    private static final int MAX_CONSOLE_CONNECTIONS = 64;
+    private static final int MIN_CONSOLE_CONNECTIONS = 6;
 
-    /** The shares of so many descriptors; none for operators' calls where they can't call. */
-    static DescriptorBudget of(int sockets, boolean called) {
-        int clients = sockets / 3 + sockets / 32;
-        int overCap = Math.min(64, sockets / 8);
-        int callers = called ? Math.max(MIN_CONSOLE_CONNECTIONS, Math.min(MAX_CONSOLE_CONNECTIONS, sockets / 16)) : 0;
-        int spare = Math.max(MIN_RESERVE, Math.min(MAX_RESERVE, sockets / 8));
-        return new DescriptorBudget(clients, overCap, Math.max(4, sockets - spare - clients - overCap - callers), callers);
+    /** Divides {@code maxDescriptors}; the console gets a share only where it listens. */
+    static DescriptorBudget of(int maxDescriptors, boolean hasConsole) {
+        int clients = maxDescriptors / 3 + maxDescriptors / 32;
+        int excess = Math.min(64, maxDescriptors / 8);
+        int console = hasConsole
+            ? Math.max(MIN_CONSOLE_CONNECTIONS, Math.min(MAX_CONSOLE_CONNECTIONS, maxDescriptors / 16)) : 0;
+        int reserve = Math.max(MIN_RESERVE, Math.min(MAX_RESERVE, maxDescriptors / 8));
+        return new DescriptorBudget(clients, excess, Math.max(4, maxDescriptors - reserve - clients - excess - console), console);
     }
 }
--- a/src/main/java/badgermux/DispatcherProcess.java
+++ b/src/main/java/badgermux/DispatcherProcess.java
@@ -7,10 +7,10 @@
 import badgermux.core.Clock;
 import badgermux.core.Deadlines;
 import badgermux.core.Engine;
-import badgermux.decide.DispatchPolicy;
 import badgermux.decide.DefaultDispatchPolicy;
-import badgermux.discovery.DiscoveryClient;
+import badgermux.decide.DispatchPolicy;
 import badgermux.discovery.BackendListCodec;
+import badgermux.discovery.DiscoveryClient;
 import badgermux.front.Frontend;
 import badgermux.http.ForwardedRequest;
 import badgermux.log.AsynchronousWriter;
@@ -32,11 +32,14 @@
 import java.util.function.Consumer;
 import org.tinylog.Logger;
 
-/** Joins the parts of one real dispatcher on its event loop; rereads its configuration on SIGHUP, ends on SIGTERM. */
+/**
+ * Runs one dispatcher: creates its components on one event loop, reloads the configuration on SIGHUP and shuts down on
+ * SIGTERM.
+ */
 final class DispatcherProcess {
-    /** The part of all memory that bodies may hold until their requests are answered: 12 MB of 192. */
+    /** Buffered request bodies may take this fraction of the memory limit: 12 MB of 192 MB. */
     private static final int BODY_MEMORY_DIVISOR = 16;
-    /** How long the end waits for its counters, and then its log, to be written, in milliseconds. */
+    /** How long the shutdown waits for the metrics, and then for the log, to be written. */
     private static final long OUTPUT_TIMEOUT_MILLIS = 200;
 
     private final MultiThreadIoEventLoopGroup loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -44,18 +47,20 @@
     private final CountDownLatch startupComplete = new CountDownLatch(1);
     private final CountDownLatch shutdownComplete = new CountDownLatch(1);
     private final Map<String, String> environment;
+    /** The options of the command line; null where there are none. */
     private final ServeOptions options;
     private Metrics metrics;
     private Deadlines deadlines;
     private AdminService adminService;
     private OperatorConsole console;
     private LearnedStateStore learnedState;
+    /** The scheduled run of the next deadline. */
     private Future<?> alarm;
-    /** The counters, as the end has them. */
+    /** The metrics as of the end of the drain, for standard output. */
     private volatile String finalMetrics = "";
-    private Frontend front;
+    private Frontend frontend;
     private DiscoveryClient discovery;
-    /** Whether SIGTERM has come, on the event loop. */
+    /** Whether SIGTERM was received. Used on the event loop only. */
     private boolean shuttingDown;
 
     private DispatcherProcess(Map<String, String> environment, ServeOptions options) {
@@ -63,159 +68,164 @@
         this.options = options;
     }
 
-    /** Serves until SIGTERM has been dealt with. */
+    /** Serves until the shutdown that SIGTERM starts is complete. */
     static void run(Map<String, String> environment) throws ConfigException, InterruptedException {
         new DispatcherProcess(environment, null).serve();
     }
 
-    /** The same, with what the command line adds. */
+    /** Does the same with the options of the command line. */
     static void run(Map<String, String> environment, ServeOptions options)
             throws ConfigException, InterruptedException {
         new DispatcherProcess(environment, options).serve();
     }
 
     private void serve() throws ConfigException, InterruptedException {
-        // First of all: SIGHUP ends a process that says nothing of it.
+        // Must come first: without a handler, SIGHUP terminates the process.
         SighupHandler.handle(this::reload);
         Config config = Config.read(environment);
-        ServerSocketChannel held = config.inheritsSocket() ? inheritedSocket() : null;
+        ServerSocketChannel inherited = config.inheritsSocket() ? inheritedSocket() : null;
         metrics = new Metrics(config.settings().classes.stream().map(DispatchPolicy.RequestClass::name).toList());
-        deadlines = new Deadlines(clock::nowMicros, this::alarm, metrics);
+        deadlines = new Deadlines(clock::nowMicros, this::scheduleAlarm, metrics);
         console = config.adminAddress() == null ? null
             : new OperatorConsole(config.name(), config.settings().warmUpMicros, environment.get("TMPDIR"), loop, clock,
                 config.settingsFingerprint());
         adminService = options == null ? null : new AdminService(options, loop, clock::nowMicros);
-        ZonePolicy zones = adminService == null ? null : adminService.zones(config.zoneNames(), config.settings());
-        // An upgrade's process is told by the one that still serves.
+        ZonePolicy zones = adminService == null ? null : adminService.zonePolicy(config.zoneNames(), config.settings());
+        // In a hot restart the previous process sends its learned state, so the file is not read.
         learnedState = new LearnedStateStore(config.inheritsSocket() ? null : environment.get("TMPDIR"), config);
-        CompletableFuture<ChannelFuture> front = new CompletableFuture<>();
-        // Before clients are let in: what they hand in is answered, however soon SIGTERM comes.
+        CompletableFuture<ChannelFuture> bound = new CompletableFuture<>();
+        // Before clients can connect: every request accepted is answered, however soon SIGTERM arrives.
         Runtime.getRuntime().addShutdownHook(new Thread(this::shutDown, "end"));
-        loop.execute(() -> takeOverAndStart(config, zones, held, front));
+        loop.execute(() -> takeOverAndStart(config, zones, inherited, bound));
         try {
-            serve(config, front);
+            awaitListeners(config, bound);
         } catch (ConfigException e) {
-            shutdownComplete.countDown();      // there is nothing to end
+            shutdownComplete.countDown();      // nothing was started, so the shutdown hook must not wait
             throw e;
         }
         startupComplete.countDown();
         shutdownComplete.await();
     }
 
-    private void serve(Config config, CompletableFuture<ChannelFuture> front) throws ConfigException, InterruptedException {
+    private void awaitListeners(Config config, CompletableFuture<ChannelFuture> frontendBound)
+            throws ConfigException, InterruptedException {
         try {
-            awaitBound("GW_LISTEN (listen)", front.get());
+            awaitBound("GW_LISTEN (listen)", frontendBound.get());
             if (console != null) {
                 ChannelFuture bound = loop.submit(() -> console.listen(config.adminAddress())).get();
                 awaitBound("GW_ADMIN (admin)", bound);
                 Logger.info("operators call on {}", bound.channel().localAddress());
             }
-            Logger.info("{} listens on {}", config.name(), this.front.address());
+            Logger.info("{} listens on {}", config.name(), frontend.address());
         } catch (ExecutionException e) {
             throw new ConfigException("settings: " + e.getCause().getMessage());
         }
     }
 
-    /** The socket that is held for us. */
+    /** Returns the listening socket that the parent process passed as descriptor 0. */
     private static ServerSocketChannel inheritedSocket() throws ConfigException {
         try {
-            if (System.inheritedChannel() instanceof ServerSocketChannel held) {
-                return held;
+            if (System.inheritedChannel() instanceof ServerSocketChannel inherited) {
+                return inherited;
             }
         } catch (IOException e) {
-            throw new ConfigException("GW_SOCKET_FD: descriptor 0 can't be inherited: " + e.getMessage());
+            throw new ConfigException("GW_SOCKET_FD: failed to inherit descriptor 0: " + e.getMessage());
         }
-        throw new ConfigException("GW_SOCKET_FD: descriptor 0 is no socket that listens");
+        throw new ConfigException("GW_SOCKET_FD: descriptor 0 is not a listening socket");
     }
 
-    private static void awaitBound(String what, ChannelFuture bound) throws ConfigException, InterruptedException {
+    private static void awaitBound(String setting, ChannelFuture bound) throws ConfigException, InterruptedException {
         if (!bound.await().isSuccess()) {
-            throw new ConfigException(what + " can't be bound: " + bound.cause().getMessage());
+            throw new ConfigException(setting + ": failed to bind: " + bound.cause().getMessage());
         }
     }
 
-    /** Asks the process before this one first, where there may be one; then all is made and clients are let in. */
-    private void takeOverAndStart(Config config, ZonePolicy zones, ServerSocketChannel held, CompletableFuture<ChannelFuture> front) {
-        Consumer<BackendListCodec.BackendList> start = known -> {
+    /** Asks the previous process, if there may be one, to hand over; then creates all components and starts to serve. */
+    private void takeOverAndStart(Config config, ZonePolicy zones, ServerSocketChannel inherited,
+            CompletableFuture<ChannelFuture> bound) {
+        Consumer<BackendListCodec.BackendList> start = cachedList -> {
             try {
-                front.complete(startComponents(config, zones, held, known));
+                bound.complete(startComponents(config, zones, inherited, cachedList));
             } catch (RuntimeException e) {
-                front.completeExceptionally(e);
+                bound.completeExceptionally(e);
             }
         };
-        if (console == null || held == null) {
+        if (console == null || inherited == null) {
             start.accept(config.cachedList());
         } else {
-            console.handover().takeOverFromPrevious(deadlines, listing ->
-                start.accept(listing == null ? config.cachedList() : BackendListCodec.BackendList.newer(config.cachedList(), listing)));
+            console.handover().takeOverFromPrevious(deadlines, previousList -> start.accept(previousList == null
+                ? config.cachedList() : BackendListCodec.BackendList.newer(config.cachedList(), previousList)));
         }
     }
 
-    private ChannelFuture startComponents(Config config, ZonePolicy zones, ServerSocketChannel held, BackendListCodec.BackendList known) {
+    private ChannelFuture startComponents(Config config, ZonePolicy zones, ServerSocketChannel inherited,
+            BackendListCodec.BackendList cachedList) {
         if (shuttingDown) {
-            throw new IllegalStateException("ended before clients were let in");
+            throw new IllegalStateException("shut down before clients could connect");
         }
         DispatchPolicy.Settings settings = config.settings();
         DescriptorBudget budget = DescriptorBudget.of(config.maxDescriptors(), console != null);
         Engine<ForwardedRequest> engine = new Engine<>(clock::nowMicros, deadlines, metrics, settings.maxAttempts);
-        HttpBackendClient backends = new HttpBackendClient(loop, deadlines, clock::nowMicros, metrics, engine, config.connectTimeoutMicros(),
-            settings.idleTimeoutMicros, budget.backendConnections(), settings.reportMode == DispatchPolicy.ReportMode.ON_PROBE);
+        HttpBackendClient backends = new HttpBackendClient(loop, deadlines, clock::nowMicros, metrics, engine,
+            config.connectTimeoutMicros(), settings.idleTimeoutMicros, budget.backendConnections(),
+            settings.reportMode == DispatchPolicy.ReportMode.ON_PROBE);
         discovery = new DiscoveryClient(loop, deadlines, clock, metrics, engine, backends, config.discoveryAddress(),
-            known, config.zoneNames(), config.kindNames(), zones == null ? null : zones::keepUnlistedBackends,
+            cachedList, config.zoneNames(), config.kindNames(), zones == null ? null : zones::keepUnlistedBackends,
             console == null ? null : console.cordons(), settings.listPushed);
-        front = new Frontend(clock::nowMicros, deadlines, metrics, engine, settings, discovery::hasList, budget.clientConnections(),
-            budget.excessClientConnections(), ((long) config.memoryMb() << 20) / BODY_MEMORY_DIVISOR,
-            adminService == null ? null : adminService.gate(metrics));
+        frontend = new Frontend(clock::nowMicros, deadlines, metrics, engine, settings, discovery::hasList,
+            budget.clientConnections(), budget.excessClientConnections(),
+            ((long) config.memoryMb() << 20) / BODY_MEMORY_DIVISOR,
+            adminService == null ? null : adminService.requestValidator(metrics));
         engine.connect(new DefaultDispatchPolicy(settings, config.seed(), engine, zones), backends, discovery::watch);
         discovery.start();
         learnedState.attach(engine, deadlines);
         if (adminService != null) {
             adminService.listen(deadlines, metrics);
         }
-        ChannelFuture listening = held == null ? front.listen(loop, config.listenAddress())
-            : front.listen(loop, held, console == null || !console.handover().hasPrevious());
+        ChannelFuture listening = inherited == null ? frontend.listen(loop, config.listenAddress())
+            : frontend.listen(loop, inherited, console == null || !console.handover().hasPrevious());
         if (console != null) {
-            console.attach(discovery, front, backends, engine, deadlines, metrics, config.maxDescriptors());
+            console.attach(discovery, frontend, backends, engine, deadlines, metrics, config.maxDescriptors());
         }
         return listening;
     }
 
     /**
-     * Runs on a thread of its own for each signal, one after another: the event loop reads no files. A file that can't
-     * be used changes nothing.
+     * Reloads the configuration. Runs on a separate thread, one signal after another, because the event loop must not
+     * read files. A configuration that is not valid changes nothing.
      */
     private synchronized void reload() {
         try {
             startupComplete.await();
-            InetSocketAddress at = Config.reload(environment).discoveryAddress();
+            InetSocketAddress address = Config.reload(environment).discoveryAddress();
             loop.execute(() -> {
                 metrics.increment(Count.RELOADS);
-                Logger.info("configuration reread: the director is at {}:{}", at.getHostString(), at.getPort());
-                discovery.switchTo(at);
+                Logger.info("Configuration reloaded, discovery address is {}:{}", address.getHostString(), address.getPort());
+                discovery.switchTo(address);
             });
         } catch (ConfigException | RuntimeException e) {
             loop.execute(() -> metrics.increment(Count.RELOADS_REJECTED));
-            Logger.warn("the new configuration is not used: {}", e.getMessage());
+            Logger.warn("Configuration reload rejected: {}", e.getMessage());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void alarm(long at) {
+    private void scheduleAlarm(long atMicros) {
         if (alarm != null) {
             alarm.cancel(false);
         }
-        alarm = loop.schedule(deadlines::runDue, Math.max(0, at - clock.nowMicros()), TimeUnit.MICROSECONDS);
+        alarm = loop.schedule(deadlines::runDue, Math.max(0, atMicros - clock.nowMicros()), TimeUnit.MICROSECONDS);
     }
 
-    /** The process goes on until this returns: once all that was taken is answered. */
+    /** Shutdown hook: returns, and lets the process exit, once every accepted request is answered. */
     private void shutDown() {
-        long toldAt = clock.nowMicros();      // first of all: the kill counts from here
+        long signalledAt = clock.nowMicros();      // first, since the time until SIGKILL counts from here
         try {
             if (shutdownComplete.getCount() > 0) {
-                loop.execute(() -> drain(toldAt));
+                loop.execute(() -> drain(signalledAt));
                 shutdownComplete.await();
-                // Guards against an end that waits for those who read what it prints: the answers are out.
+                // On a daemon thread with a timeout: a reader that does not drain the pipe must not block the exit.
                 Thread printer = new Thread(() -> {
                     System.out.print(finalMetrics);
                     System.out.flush();
@@ -230,18 +240,18 @@
         }
     }
 
-    private void drain(long toldAt) {
+    private void drain(long signalledAt) {
         if (shuttingDown) {
             return;
         }
         shuttingDown = true;
-        if (console != null && front != null) {
-            console.handover().ending();
+        if (console != null && frontend != null) {
+            console.handover().stopTakeovers();
         }
-        if (front == null) {
-            shutdownComplete.countDown();      // nobody was let in yet, and nobody is from here on
+        if (frontend == null) {
+            shutdownComplete.countDown();      // no client has connected, and none can from here on
         } else {
-            front.drain(toldAt, this::onDrained);
+            frontend.drain(signalledAt, this::onDrained);
         }
     }
 
--- a/src/main/java/badgermux/HandoverCoordinator.java
+++ b/src/main/java/badgermux/HandoverCoordinator.java
@@ -2,18 +2,18 @@
 
 import badgermux.backend.HttpBackendClient;
 import badgermux.console.Console;
+import badgermux.cordon.Cordons;
 import badgermux.core.Clock;
 import badgermux.core.Deadlines;
 import badgermux.core.Engine;
-import badgermux.discovery.DiscoveryClient;
 import badgermux.discovery.BackendListCodec;
+import badgermux.discovery.DiscoveryClient;
 import badgermux.front.Frontend;
-import badgermux.cordon.Cordons;
 import badgermux.http.Address;
-import badgermux.upgrade.HandoverState;
-import badgermux.upgrade.LearnedStateCodec;
 import badgermux.upgrade.HandoverLink;
 import badgermux.upgrade.HandoverReadiness;
+import badgermux.upgrade.HandoverState;
+import badgermux.upgrade.LearnedStateCodec;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoopGroup;
@@ -36,13 +36,22 @@
 import java.util.function.Consumer;
 import org.tinylog.Logger;
 
-/** Joins this process to those before and after it: what they are told, and what comes of what they tell. */
+/**
+ * Coordinates a hot restart with the previous and the next process of this dispatcher: takes over the backend list, cordons
+ * and learned state from the previous process, and hands them over to the next one.
+ *
+ * <p>The next process connects to the console and sends TAKEOVER; the previous one replies with its {@link HandoverState}.
+ * Once the next process serves, it sends SERVING; the previous one stops accepting clients and replies with LEFT and its
+ * learned state. Both send OPEN, with the number of their open requests, as a heartbeat, and OUT and BACK for cordons.
+ */
 final class HandoverCoordinator implements HandoverLink.Listener {
-    /** How long a new process waits for the one before it to say what it holds. */
+    /** How long a new process waits for the reply to TAKEOVER. */
     private static final long TAKEOVER_REPLY_TIMEOUT_MICROS = 1_000_000;
-    /** What a start takes until the process before has answered. */
-    private static final long MIN_STARTUP_MICROS = 300_000, MAX_STARTUP_MICROS = 2_000_000;
-    /** How what it holds begins. */
+    /** The least time from the start of a process to the previous process's reply. */
+    private static final long MIN_STARTUP_MICROS = 300_000;
+    /** The greatest time from the start of a process to the previous process's reply. */
+    private static final long MAX_STARTUP_MICROS = 2_000_000;
+    /** Precedes the handover state in the reply to TAKEOVER. */
     private static final String STATE_REPLY_PREFIX = "200 ";
 
     private final EventLoopGroup loop;
@@ -52,7 +61,8 @@
     private final Path addressFile;
     private final Executor fileWriter;
     private final HandoverReadiness readiness = new HandoverReadiness();
-    private final String secret = secret();
+    /** Authenticates the next process, which reads it from the address file. */
+    private final String secret = newSecret();
     private Deadlines deadlines;
     private DiscoveryClient discovery;
     private Frontend frontend;
@@ -60,33 +70,36 @@
     private Engine<?> engine;
     private Console console;
     private int maxDescriptors;
-    private boolean ending;
-    /** To the process before this one, and to the next one; null where there is none. */
+    private boolean shuttingDown;
+    /** The link to the previous process; null where there is none. */
     private HandoverLink previousLink;
+    /** The link to the next process; null where there is none. */
     private HandoverLink nextLink;
     private boolean nextServes;
     private Deadlines.Deadline heartbeat;
-    /** Told the list that the process before this one holds, or null. */
+    /** Receives the previous process's backend list, or null where there is none; set until the reply is in. */
     private Consumer<BackendListCodec.BackendList> onPreviousList;
 
     /**
-     * Knows of no other process yet.
+     * Creates a coordinator without links.
      *
-     * @param address where this one writes where the next one may call, and reads where the one before did; null for nowhere
-     * @param writer  writes it
-     * @param fingerprint of all settings: only what was learnt under the same is taken over
+     * @param addressFile         where each process writes its console's address and secret for the next one; null where
+     *                            nothing can be stored
+     * @param fileWriter          runs the writes of that file
+     * @param settingsFingerprint hash of all settings; learned state is exchanged only between equal settings
      */
-    HandoverCoordinator(EventLoopGroup loop, Clock clock, Cordons cordons, Path address, Executor writer, String fingerprint) {
-        this.settingsFingerprint = fingerprint;
+    HandoverCoordinator(EventLoopGroup loop, Clock clock, Cordons cordons, Path addressFile, Executor fileWriter,
+            String settingsFingerprint) {
+        this.settingsFingerprint = settingsFingerprint;
         this.loop = loop;
         this.clock = clock;
         this.cordons = cordons;
-        this.addressFile = address;
-        this.fileWriter = writer;
+        this.addressFile = addressFile;
+        this.fileWriter = fileWriter;
     }
 
-    /** From the system's source: to load what Java has for it costs a start a tenth of its time. */
-    private static String secret() {
+    /** Reads /dev/urandom directly: loading Java's random number classes would take a tenth of the startup time. */
+    private static String newSecret() {
         try (InputStream random = Files.newInputStream(Path.of("/dev/urandom"))) {
             return HexFormat.of().formatHex(random.readNBytes(16));
         } catch (IOException e) {
@@ -96,63 +109,64 @@
         }
     }
 
-    /** Called on the event loop before clients are let in. */
-    void attach(DiscoveryClient list, Frontend clients, HttpBackendClient runners, Engine<?> core, Console calls, int descriptors) {
-        discovery = list;
-        frontend = clients;
-        backends = runners;
-        engine = core;
-        console = calls;
-        maxDescriptors = descriptors;
+    /** Sets the components that a handover affects. Called on the event loop before clients can connect. */
+    void attach(DiscoveryClient newDiscovery, Frontend newFrontend, HttpBackendClient newBackends, Engine<?> newEngine,
+            Console newConsole, int descriptorLimit) {
+        discovery = newDiscovery;
+        frontend = newFrontend;
+        backends = newBackends;
+        engine = newEngine;
+        console = newConsole;
+        maxDescriptors = descriptorLimit;
         applyDescriptorBudget();
         if (previousLink != null) {
             sendHeartbeat();
         }
     }
 
-    /** The console listens now. */
+    /** Called once the console listens. */
     void onConsoleListening() {
-        // Guards against a next process that finds nobody to ask: this one may serve before it listens for calls.
+        // This process may serve before its console listens; without this the next process would find no address.
         if (previousLink == null || readiness.isServing()) {
             writeAddressFile();
         }
     }
 
-    /** SIGTERM has come: nobody takes over any more who has not yet. */
-    void ending() {
-        ending = true;
+    /** Refuses further TAKEOVER commands. Called when SIGTERM was received. */
+    void stopTakeovers() {
+        shuttingDown = true;
     }
 
-    /** Why the process before may not be ended yet; null where it may. */
+    /** Returns why the previous process must not be stopped yet; null where it may be. */
     String blockedReason() {
         return readiness.blockedReason(clock.nowMicros());
     }
 
-    /** Tells the others of a call. */
+    /** Sends a line to the previous and the next process. */
     void broadcast(String line) {
         forward(null, line);
     }
 
-    /** Whether a process before this one still serves. */
+    /** Whether a link to the previous process is open. */
     boolean hasPrevious() {
         return previousLink != null;
     }
 
     /**
-     * Asks the process before this one, if it wrote down where, to hand over; called on the event loop, before anything
-     * else is made.
+     * Asks the previous process, if it left an address, to hand over. Called on the event loop before any component is
+     * created.
      *
-     * @param then told the list that it holds, or null where there is none
+     * @param callback receives the previous process's backend list; null where there is none
      */
-    void takeOverFromPrevious(Deadlines due, Consumer<BackendListCodec.BackendList> then) {
-        deadlines = due;
-        String[] parts = readAddressFile();
-        InetSocketAddress at = parts == null ? null : Address.parse(parts[0]);
-        if (at == null) {
-            then.accept(null);
+    void takeOverFromPrevious(Deadlines newDeadlines, Consumer<BackendListCodec.BackendList> callback) {
+        deadlines = newDeadlines;
+        String[] addressAndSecret = readAddressFile();
+        InetSocketAddress address = addressAndSecret == null ? null : Address.parse(addressAndSecret[0]);
+        if (address == null) {
+            callback.accept(null);
             return;
         }
-        onPreviousList = then;
+        onPreviousList = callback;
         previousLink = new HandoverLink(deadlines, this);
         deadlines.scheduleAfter(TAKEOVER_REPLY_TIMEOUT_MICROS, () -> {
             if (onPreviousList != null && previousLink != null) {
@@ -161,70 +175,71 @@
         });
         HandoverLink link = previousLink;
         new Bootstrap().group(loop).channel(NioSocketChannel.class).option(ChannelOption.TCP_NODELAY, true).handler(link)
-            .connect(at).addListener(done -> {
+            .connect(address).addListener(done -> {
                 if (done.isSuccess()) {
-                    link.send("TAKEOVER " + parts[1]);
+                    link.send("TAKEOVER " + addressAndSecret[1]);
                 } else {
                     link.close();
                 }
             });
     }
 
-    /** Read before anything is served, so on the event loop: a file in memory of some bytes. */
+    /** Reads the file on the event loop: nothing is served yet, and it is a small file in memory. */
     private String[] readAddressFile() {
         try {
             String[] parts = addressFile == null ? new String[0] : Files.readString(addressFile).strip().split(" ");
             return parts.length == 2 ? parts : null;
         } catch (IOException e) {
-            return null;    // nobody was here before, or nobody who can be asked
+            return null;    // no previous process, or none that can hand over
         }
     }
 
     private void writeAddressFile() {
-        SocketAddress at = console.address();
-        if (addressFile != null && at instanceof InetSocketAddress bound) {
+        SocketAddress address = console.address();
+        if (addressFile != null && address instanceof InetSocketAddress bound) {
             String text = bound.getAddress().getHostAddress() + ':' + bound.getPort() + ' ' + secret + '\n';
             fileWriter.execute(() -> {
                 try {
-                    // Guards against others who read the secret: the file is its owner's before it holds anything.
-                    Path fresh = addressFile.resolveSibling("console.new");
-                    Files.writeString(fresh, "");
-                    Files.setPosixFilePermissions(fresh, PosixFilePermissions.fromString("rw-------"));
-                    Files.writeString(fresh, text);
-                    Files.move(fresh, addressFile, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+                    // Restricts the permissions before the secret is written, so that no other user can read it.
+                    Path newFile = addressFile.resolveSibling("console.new");
+                    Files.writeString(newFile, "");
+                    Files.setPosixFilePermissions(newFile, PosixFilePermissions.fromString("rw-------"));
+                    Files.writeString(newFile, text);
+                    Files.move(newFile, addressFile, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
                 } catch (IOException e) {
-                    Logger.warn("the next process can't be told where to call: {}", e.toString());
+                    Logger.warn("Failed to write the console address for the next process: {}", e.toString());
                 }
             });
         }
     }
 
-    /** What goes on with the connection of the next process; null where the secret is not ours, or we are ending. */
-    HandoverLink createHandoverLink(String told) {
-        boolean right = MessageDigest.isEqual(told.getBytes(StandardCharsets.UTF_8), secret.getBytes(StandardCharsets.UTF_8));
-        return right && !ending ? new HandoverLink(deadlines, this) : null;
+    /** Returns the handler for the next process's connection; null if the secret is wrong or this process is shutting down. */
+    HandoverLink createHandoverLink(String givenSecret) {
+        boolean matches = MessageDigest.isEqual(givenSecret.getBytes(StandardCharsets.UTF_8),
+            secret.getBytes(StandardCharsets.UTF_8));
+        return matches && !shuttingDown ? new HandoverLink(deadlines, this) : null;
     }
 
-    /** The next process is at the other end of this. */
-    void startHandover(HandoverLink by) {
+    /** Sends the handover state over a link to the next process, which was just installed. */
+    void startHandover(HandoverLink link) {
         HandoverLink earlier = nextLink;
-        nextLink = by;
+        nextLink = link;
         nextServes = false;
         if (earlier != null) {
-            earlier.close();    // it never got so far, or hangs: the latest counts
+            earlier.close();    // that process did not get to serve, or hangs: the latest one takes over
         }
         applyDescriptorBudget();
-        Map<String, Long> out = new HashMap<>();
-        cordons.cordoned().forEach((id, at) -> out.put(id, clock.toUnixMillis(at)));
-        Map<String, long[]> back = new HashMap<>();
-        cordons.absences().forEach((id, absence) ->
-            back.put(id, new long[] {clock.toUnixMillis(absence.cordonedAt()), clock.toUnixMillis(absence.returnedAt())}));
-        nextLink.send(STATE_REPLY_PREFIX + new HandoverState(discovery.encodeList(), out, back).encode());
-        Logger.info("the next process is here");
+        Map<String, Long> cordonedMillis = new HashMap<>();
+        cordons.cordoned().forEach((id, at) -> cordonedMillis.put(id, clock.toUnixMillis(at)));
+        Map<String, long[]> returnedMillis = new HashMap<>();
+        cordons.absences().forEach((id, absence) -> returnedMillis.put(id,
+            new long[] {clock.toUnixMillis(absence.cordonedAt()), clock.toUnixMillis(absence.returnedAt())}));
+        nextLink.send(STATE_REPLY_PREFIX + new HandoverState(discovery.encodeList(), cordonedMillis, returnedMillis).encode());
+        Logger.info("The next process has connected");
         sendHeartbeat();
     }
 
-    /** Says that we are alive, and what there is to say. */
+    /** Sends the number of open requests, and SERVING once this process serves. */
     private void sendHeartbeat() {
         deadlines.cancel(heartbeat);
         if (previousLink == null && nextLink == null) {
@@ -235,7 +250,7 @@
             frontend.cancelHandover();
             previousLink.send("SERVING");
             writeAddressFile();
-            Logger.info("serving; the process before answers what it has taken");
+            Logger.info("Serving; the previous process answers the requests it has accepted");
         }
         for (HandoverLink link : new HandoverLink[] {previousLink, nextLink}) {
             if (link != null) {
@@ -253,8 +268,8 @@
         try {
             handleLine(link, line);
         } catch (RuntimeException e) {
-            // Guards against another version's lines: they change nothing, and the upgrade goes on.
-            Logger.warn("a line of the other process can't be read: {}", e.toString());
+            // The other process may run another version: a line that can't be parsed is ignored and the handover goes on.
+            Logger.warn("Failed to handle a line of the other process: {}", e.toString());
         }
     }
 
@@ -281,54 +296,55 @@
                 discovery.republish(parts[1]);
                 forward(link, line);
             }
-            default -> Logger.warn("the other process says what this one does not know: {}", parts[0]);
+            default -> Logger.warn("Unknown message of the other process: {}", parts[0]);
         }
     }
 
-    /** The process before this one has answered: what it holds counts, and not what was read at the start. */
+    /** Applies the previous process's state, which replaces the cordons read at startup. */
     private void handleTakeoverReply(String line) {
-        BackendListCodec.BackendList listing = null;
+        BackendListCodec.BackendList backendList = null;
         try {
             if (line.startsWith(STATE_REPLY_PREFIX)) {
-                HandoverState held = HandoverState.decode(line.substring(STATE_REPLY_PREFIX.length()));
-                listing = BackendListCodec.decode(held.backendList());
-                Map<String, Long> out = new HashMap<>();
-                held.cordoned().forEach((id, millis) -> out.put(id, clock.fromUnixMillis(millis)));
-                Map<String, Cordons.Absence> back = new HashMap<>();
-                held.returned().forEach((id, millis) -> back.put(id,
+                HandoverState state = HandoverState.decode(line.substring(STATE_REPLY_PREFIX.length()));
+                backendList = BackendListCodec.decode(state.backendList());
+                Map<String, Long> cordoned = new HashMap<>();
+                state.cordoned().forEach((id, millis) -> cordoned.put(id, clock.fromUnixMillis(millis)));
+                Map<String, Cordons.Absence> absences = new HashMap<>();
+                state.returned().forEach((id, millis) -> absences.put(id,
                     new Cordons.Absence(clock.fromUnixMillis(millis[0]), clock.fromUnixMillis(millis[1]))));
-                cordons.replaceAll(out, back);
+                cordons.replaceAll(cordoned, absences);
                 readiness.previousConnected(processStartMicros());
             }
         } catch (RuntimeException e) {
-            listing = null;
-            Logger.warn("what the process before tells can't be read: {}", e.toString());
+            backendList = null;
+            Logger.warn("Failed to read the state of the previous process: {}", e.toString());
         }
-        if (listing == null) {
+        if (backendList == null) {
             previousLink.close();
             return;
         }
-        Consumer<BackendListCodec.BackendList> then = onPreviousList;
+        Consumer<BackendListCodec.BackendList> callback = onPreviousList;
         onPreviousList = null;
-        then.accept(listing);
+        callback.accept(backendList);
     }
 
-    /** When this process was started: by the system's word, which is to the second, within what a start can have taken. */
+    /** Returns when this process started: the system's time, which is in whole seconds, limited to plausible startup times. */
     private long processStartMicros() {
         long now = clock.nowMicros();
-        long told = ProcessHandle.current().info().startInstant().map(at -> clock.fromUnixMillis(at.toEpochMilli())).orElse(now);
-        return Math.max(now - MAX_STARTUP_MICROS, Math.min(now - MIN_STARTUP_MICROS, told));
+        long systemTime = ProcessHandle.current().info().startInstant().map(at -> clock.fromUnixMillis(at.toEpochMilli()))
+            .orElse(now);
+        return Math.max(now - MAX_STARTUP_MICROS, Math.min(now - MIN_STARTUP_MICROS, systemTime));
     }
 
-    private void handOverTo(HandoverLink to) {
-        if (to == nextLink) {
+    private void handOverTo(HandoverLink link) {
+        if (link == nextLink) {
             nextServes = true;
-            // What is left to answer here needs no cold runner; their budget is the next process's.
+            // From here on the next process spends the budget of cold backends; the requests left here can do without them.
             cordons.drainCold(clock.nowMicros());
             discovery.republishAll();
-            to.send("LEFT " + LearnedStateCodec.encode(engine.exportLearnedState(), settingsFingerprint));
+            link.send("LEFT " + LearnedStateCodec.encode(engine.exportLearnedState(), settingsFingerprint));
             frontend.handOver();
-            Logger.info("handed over: the next process serves");
+            Logger.info("Requests are handed over to the next process");
         }
     }
 
@@ -337,9 +353,9 @@
             previousLink = null;
             readiness.previousDisconnected();
             if (onPreviousList != null) {
-                Consumer<BackendListCodec.BackendList> then = onPreviousList;
+                Consumer<BackendListCodec.BackendList> callback = onPreviousList;
                 onPreviousList = null;
-                then.accept(null);
+                callback.accept(null);
                 return;
             }
             if (!readiness.isServing()) {
@@ -347,33 +363,35 @@
                 writeAddressFile();
             }
             applyDescriptorBudget();
-            Logger.info("the process before has ended");
+            Logger.info("The previous process has ended");
         } else if (link == nextLink) {
             nextLink = null;
             applyDescriptorBudget();
-            if (nextServes && !ending) {
+            if (nextServes && !shuttingDown) {
                 cordons.drainCold(Long.MAX_VALUE);
                 discovery.republishAll();
                 frontend.cancelHandover();
-                Logger.warn("the next process has ended, or hangs: this one serves again");
+                Logger.warn("The next process has ended or hangs, serving again");
             }
-            if (!ending) {
+            if (!shuttingDown) {
                 writeAddressFile();
             }
         }
     }
 
-    /** The two of an upgrade have half of the descriptors each: one dispatcher may hold no more than all. */
+    /** Gives each of two linked processes half of the descriptors: the limit holds for both together. */
     private void applyDescriptorBudget() {
-        DescriptorBudget budget = DescriptorBudget.of(previousLink == null && nextLink == null ? maxDescriptors : maxDescriptors / 2, true);
+        DescriptorBudget budget = DescriptorBudget.of(
+            previousLink == null && nextLink == null ? maxDescriptors : maxDescriptors / 2, true);
         frontend.setConnectionLimits(budget.clientConnections(), budget.excessClientConnections());
         backends.setMaxConnections(budget.backendConnections());
         console.setMaxConnections(budget.consoleConnections());
     }
 
-    private void forward(HandoverLink from, String line) {
+    /** Sends a line to every linked process but the one it came from. */
+    private void forward(HandoverLink source, String line) {
         for (HandoverLink link : new HandoverLink[] {previousLink, nextLink}) {
-            if (link != null && link != from) {
+            if (link != null && link != source) {
                 link.send(line);
             }
         }
--- a/src/main/java/badgermux/LearnedStateStore.java
+++ b/src/main/java/badgermux/LearnedStateStore.java
@@ -13,42 +13,48 @@
 import org.tinylog.Logger;
 
 /**
- * Has what the module learns outlast the process, where there is a folder for it: read at the start, kept every two
- * seconds in case we are killed, and at the end. A fleet whose dispatchers are all started anew would else know no run
- * time of any class, and send nothing to cold runners, while each of them gets a request a second.
+ * Preserves the decision module's learned state across restarts, if there is a folder for it. The state is read at startup,
+ * saved every two seconds in case the process is killed, and saved once more at exit. Without it, a fleet whose dispatchers
+ * all restart at once would know no run time of any class and would send nothing to cold backends, as long as each
+ * dispatcher gets about one request a second.
  */
 final class LearnedStateStore {
-    /** How often it is kept, in microseconds: a kill loses so much of what was learnt. */
+    /** The interval between saves: a killed process loses at most what was learned in this time. */
     private static final long SAVE_INTERVAL_MICROS = 2_000_000;
-    /** How long the end waits for it at most, in microseconds: a write takes a millisecond or two. */
+    /** How long the exit waits for the last save. A write takes one or two milliseconds. */
     private static final long FINAL_SAVE_TIMEOUT_MICROS = 200_000;
 
+    /** Null where nothing is read or saved. */
     private final LearnedStateFile file;
     private final LearnedState previousState;
-    /** The event loop waits for no disk. */
+    /** Writes the file, because the event loop must not wait for the disk. */
     private final ExecutorService writer;
     private final AtomicBoolean writePending = new AtomicBoolean();
     private Engine<?> engine;
     private boolean failureLogged;
 
-    /** Reads what the process before left in {@code folder}, which may be null: then nothing is read or kept. */
+    /** Reads the state that the previous process left in {@code folder}; if it is null, nothing is read or saved. */
     LearnedStateStore(String folder, Config config) {
         file = folder == null || folder.isBlank() ? null : new LearnedStateFile(Path.of(folder,
             "badgermux-" + config.name().replaceAll("[^A-Za-z0-9_.-]", "_")), config.settingsFingerprint());
         previousState = file == null ? null : file.read(System.currentTimeMillis());
-        writer = file == null ? null : Executors.newSingleThreadExecutor(work -> {
-            Thread thread = new Thread(work, "learnt");
+        writer = file == null ? null : Executors.newSingleThreadExecutor(task -> {
+            Thread thread = new Thread(task, "learnt");
             thread.setDaemon(true);
             return thread;
         });
     }
 
-    /** Called on the event loop, once the module has its list. */
-    void attach(Engine<?> of, Deadlines deadlines) {
-        engine = of;
+    /**
+     * Imports the previous state and starts the periodic saves. Called on the event loop, once the engine has its backend
+     * list.
+     */
+    void attach(Engine<?> newEngine, Deadlines deadlines) {
+        engine = newEngine;
         if (previousState != null) {
             engine.importLearnedState(previousState);
-            Logger.info("going on from what the process before has learnt{}", previousState.recentSends() == null ? ", which was killed" : "");
+            Logger.info("Restored the learned state of the previous process{}",
+                previousState.recentSends() == null ? ", which was killed" : "");
         }
         if (file != null) {
             deadlines.scheduleAfter(SAVE_INTERVAL_MICROS, () -> savePeriodically(deadlines));
@@ -56,7 +62,7 @@
     }
 
     private void savePeriodically(Deadlines deadlines) {
-        // Guards against a folder that hangs: what waits to be written does not grow.
+        // Skipped while a write is pending: otherwise the queue would grow without bound where the file system hangs.
         if (!writePending.get()) {
             save(false);
         }
@@ -64,14 +70,14 @@
     }
 
     private void save(boolean ended) {
-        LearnedState left = engine.exportLearnedState();
+        LearnedState state = engine.exportLearnedState();
         writePending.set(true);
         writer.execute(() -> {
             try {
-                file.write(left, ended, System.currentTimeMillis());
+                file.write(state, ended, System.currentTimeMillis());
             } catch (IOException e) {
                 if (!failureLogged) {
-                    Logger.warn("what was learnt is not kept beyond this process: {}", e.toString());
+                    Logger.warn("Failed to save the learned state: {}", e.toString());
                 }
                 failureLogged = true;
             } finally {
@@ -81,16 +87,17 @@
     }
 
     /**
-     * Keeps it for the last time, and runs {@code then} when it is kept, or after {@link #FINAL_SAVE_TIMEOUT_MICROS} where the folder hangs:
-     * all is answered by now, and the process is expected to end. Called on the event loop; {@code then} may run twice.
+     * Saves the state for the last time and then runs {@code onSaved}, at the latest after
+     * {@link #FINAL_SAVE_TIMEOUT_MICROS} if the file system hangs: all requests are answered by now, and the process is
+     * expected to exit. Called on the event loop; {@code onSaved} may run twice.
      */
-    void saveAtExit(Deadlines deadlines, Runnable then) {
+    void saveAtExit(Deadlines deadlines, Runnable onSaved) {
         if (file == null || engine == null) {
-            then.run();
+            onSaved.run();
             return;
         }
         save(true);
-        writer.execute(then);
-        deadlines.scheduleAfter(FINAL_SAVE_TIMEOUT_MICROS, then);
+        writer.execute(onSaved);
+        deadlines.scheduleAfter(FINAL_SAVE_TIMEOUT_MICROS, onSaved);
     }
 }
--- a/src/main/java/badgermux/Main.java
+++ b/src/main/java/badgermux/Main.java
@@ -4,8 +4,8 @@
 import badgermux.config.ConfigException;
 
 /**
- * Where the program starts. {@code serve} and {@code drill} by themselves, as the platform calls them, go round the
- * command line's library, which a start would otherwise pay for.
+ * Entry point of the program. {@code serve} and {@code drill} without options, as the platform runs them, are handled
+ * here without the command-line library, because loading it would slow down the start.
  */
 public final class Main {
     private Main() { }
--- a/src/main/java/badgermux/OperatorConsole.java
+++ b/src/main/java/badgermux/OperatorConsole.java
@@ -1,14 +1,14 @@
 package badgermux;
 
 import badgermux.backend.HttpBackendClient;
-import badgermux.console.Console;
 import badgermux.console.CommandHandler;
+import badgermux.console.Console;
+import badgermux.cordon.Cordons;
 import badgermux.core.Clock;
 import badgermux.core.Deadlines;
 import badgermux.core.Engine;
 import badgermux.discovery.DiscoveryClient;
 import badgermux.front.Frontend;
-import badgermux.cordon.Cordons;
 import badgermux.metrics.Metrics;
 import badgermux.operator.CordonStore;
 import badgermux.upgrade.HandoverLink;
@@ -25,24 +25,28 @@
 import java.util.function.Consumer;
 import org.tinylog.Logger;
 
-/** Joins what operators call with what they call for: the console, the runners cordoned, and where those are kept. */
+/**
+ * Carries out the console's commands: applies cordons, stores them on disk, and passes them to the other process of a hot
+ * restart.
+ */
 final class OperatorConsole implements CommandHandler {
-    /** Keeps a call. */
+    /** A change to the stored cordons. */
     private interface CordonUpdate {
-        void applyTo(CordonStore folder) throws IOException;
+        void applyTo(CordonStore store) throws IOException;
     }
 
     private final EventLoopGroup loop;
     private final Clock clock;
     private final Cordons cordons;
+    /** Null where cordons can't be stored. */
     private final CordonStore cordonStore;
-    /** Files are written here: the event loop waits for no disk. */
-    private final ExecutorService writer = Executors.newSingleThreadExecutor(work -> {
-        Thread thread = new Thread(work, "out-folder");
+    /** Writes files, because the event loop must not wait for the disk. */
+    private final ExecutorService writer = Executors.newSingleThreadExecutor(task -> {
+        Thread thread = new Thread(task, "out-folder");
         thread.setDaemon(true);
         return thread;
     });
-    /** The number of the last call for each runner that a file is being written for. */
+    /** The number of the last update of each backend whose file is being written. */
     private final Map<String, Long> lastUpdateByBackend = new HashMap<>();
     private final HandoverCoordinator handover;
     private long updateCount;
@@ -52,41 +56,42 @@
     private Console console;
 
     /**
-     * Reads which runners are out.
+     * Reads the stored cordons.
      *
-     * @param name    the dispatcher's: what is kept is kept under it
-     * @param coldFor how long a runner that came back is cold
-     * @param folder  $TMPDIR; null where nothing can be kept
-     * @param fingerprint of all settings
+     * @param name                the dispatcher's name, part of the name of its folder
+     * @param warmUpMicros        how long a backend is cold after it returns from a cordon
+     * @param tempFolder          $TMPDIR; null where nothing can be stored
+     * @param settingsFingerprint hash of all settings
      */
-    OperatorConsole(String name, long coldFor, String folder, EventLoopGroup loop, Clock clock, String fingerprint) {
+    OperatorConsole(String name, long warmUpMicros, String tempFolder, EventLoopGroup loop, Clock clock,
+            String settingsFingerprint) {
         this.loop = loop;
         this.clock = clock;
-        cordons = new Cordons(coldFor);
-        Path kept = folder == null || folder.isBlank() ? null
-            : Path.of(folder, "badgermux-" + name.replaceAll("[^A-Za-z0-9_.-]", "_"));
-        this.cordonStore = openStore(kept, coldFor);
-        handover = new HandoverCoordinator(loop, clock, cordons, this.cordonStore == null ? null : kept.resolve("console"), writer,
-            fingerprint);
+        cordons = new Cordons(warmUpMicros);
+        Path folder = tempFolder == null || tempFolder.isBlank() ? null
+            : Path.of(tempFolder, "badgermux-" + name.replaceAll("[^A-Za-z0-9_.-]", "_"));
+        this.cordonStore = openStore(folder, warmUpMicros);
+        handover = new HandoverCoordinator(loop, clock, cordons, this.cordonStore == null ? null : folder.resolve("console"),
+            writer, settingsFingerprint);
     }
 
-    /** Null where nothing can be kept, which the log says. */
-    private CordonStore openStore(Path kept, long coldFor) {
+    /** Opens the store and reads its cordons. Returns null, and logs why, where nothing can be stored. */
+    private CordonStore openStore(Path folder, long warmUpMicros) {
         try {
-            if (kept == null) {
+            if (folder == null) {
                 throw new IOException("TMPDIR is not set");
             }
-            CordonStore opened = CordonStore.open(kept);
+            CordonStore opened = CordonStore.open(folder);
             opened.cordoned().forEach((id, millis) -> cordons.cordon(id, clock.fromUnixMillis(millis)));
-            opened.returned(System.currentTimeMillis() - coldFor / 1000).forEach((id, millis) -> cordons.recordAbsence(id,
+            opened.returned(System.currentTimeMillis() - warmUpMicros / 1000).forEach((id, millis) -> cordons.recordAbsence(id,
                 new Cordons.Absence(clock.fromUnixMillis(millis[0]), clock.fromUnixMillis(millis[1]))));
             if (!cordons.cordoned().isEmpty()) {
-                Logger.info("out by hand: {}", cordons.cordoned().keySet());
+                Logger.info("Cordoned backends: {}", cordons.cordoned().keySet());
             }
             return opened;
         } catch (IOException e) {
-            // Guards against a start that fails for it: jobs go before what operators set.
-            Logger.warn("runners out by hand are not kept beyond this process: {}", e.toString());
+            // Not fatal: serving requests is more important than keeping cordons.
+            Logger.warn("Cordons will be lost when this process ends: {}", e.toString());
             return null;
         }
     }
@@ -95,22 +100,23 @@
         return cordons;
     }
 
-    /** The processes before and after this one. */
+    /** Returns the coordinator of handovers from the previous and to the next process. */
     HandoverCoordinator handover() {
         return handover;
     }
 
-    /** Called on the event loop before clients are let in. */
-    void attach(DiscoveryClient list, Frontend clients, HttpBackendClient runners, Engine<?> engine, Deadlines deadlines, Metrics counts, int sockets) {
-        discovery = list;
-        frontend = clients;
-        metrics = counts;
-        console = new Console(loop, deadlines, counts, this, DescriptorBudget.of(sockets, true).consoleConnections());
-        handover.attach(list, clients, runners, engine, console, sockets);
+    /** Sets the components that commands use. Called on the event loop before clients can connect. */
+    void attach(DiscoveryClient newDiscovery, Frontend newFrontend, HttpBackendClient backends, Engine<?> engine,
+            Deadlines deadlines, Metrics newMetrics, int maxDescriptors) {
+        discovery = newDiscovery;
+        frontend = newFrontend;
+        metrics = newMetrics;
+        console = new Console(loop, deadlines, newMetrics, this, DescriptorBudget.of(maxDescriptors, true).consoleConnections());
+        handover.attach(newDiscovery, newFrontend, backends, engine, console, maxDescriptors);
     }
 
-    ChannelFuture listen(InetSocketAddress at) {
-        ChannelFuture bound = console.listen(at);
+    ChannelFuture listen(InetSocketAddress address) {
+        ChannelFuture bound = console.listen(address);
         bound.addListener(done -> {
             if (done.isSuccess()) {
                 handover.onConsoleListening();
@@ -123,54 +129,54 @@
         console.close();
     }
 
-    // ---- What callers reach, on the event loop
+    // ---- Commands, on the event loop
 
     @Override public String notReadyReason() {
-        String why = frontend.notReadyReason();
-        return why != null ? why : handover.blockedReason();
+        String reason = frontend.notReadyReason();
+        return reason != null ? reason : handover.blockedReason();
     }
 
     @Override public String metricsText() {
         return metrics.dump();
     }
 
-    @Override public void cordon(String id, Consumer<String> told) {
-        if (!discovery.names(id) && !cordons.isCordoned(id)) {
-            told.accept("no runner has the id " + id);
+    @Override public void cordon(String id, Consumer<String> onDone) {
+        if (!discovery.isListed(id) && !cordons.isCordoned(id)) {
+            onDone.accept("no runner has the id " + id);
             return;
         }
-        boolean was = cordons.isCordoned(id);
-        // At once: what is not sent while the file is written is not missed.
+        boolean alreadyCordoned = cordons.isCordoned(id);
+        // Takes effect before the file is written, so that nothing is sent to the backend meanwhile.
         cordons.cordon(id, clock.nowMicros());
         discovery.republish(id);
-        Logger.info("{} is out by hand", id);
-        save(id, kept -> kept.cordon(id), (why, last) -> {
-            if (why != null && !was && last) {
+        Logger.info("Cordoned backend {}", id);
+        save(id, store -> store.cordon(id), (failure, latest) -> {
+            if (failure != null && !alreadyCordoned && latest) {
                 cordons.uncordon(id, clock.nowMicros());
                 discovery.republish(id);
-            } else if (last) {
+            } else if (latest) {
                 handover.broadcast("OUT " + id);
             }
-            told.accept(why);
+            onDone.accept(failure);
         });
     }
 
-    @Override public void uncordon(String id, Consumer<String> told) {
+    @Override public void uncordon(String id, Consumer<String> onDone) {
         if (!cordons.isCordoned(id)) {
-            told.accept(discovery.names(id) ? null : "no runner has the id " + id);
+            onDone.accept(discovery.isListed(id) ? null : "no runner has the id " + id);
             return;
         }
-        long since = clock.toUnixMillis(cordons.cordonedSince(id));
-        save(id, kept -> kept.uncordon(id, since), (why, last) -> {
-            // Guards against a runner in use that a later call has taken out: the last call counts.
-            if (why == null && last) {
+        long cordonedAt = clock.toUnixMillis(cordons.cordonedSince(id));
+        save(id, store -> store.uncordon(id, cordonedAt), (failure, latest) -> {
+            // Skipped if a later command cordoned the backend again: the latest command wins.
+            if (failure == null && latest) {
                 long now = clock.nowMicros();
                 cordons.uncordon(id, now);
                 discovery.republish(id);
                 handover.broadcast("BACK " + id + ' ' + clock.toUnixMillis(now));
-                Logger.info("{} is back by hand", id);
+                Logger.info("Uncordoned backend {}", id);
             }
-            told.accept(why);
+            onDone.accept(failure);
         });
     }
 
@@ -178,34 +184,35 @@
         return handover.createHandoverLink(secret);
     }
 
-    @Override public void startHandover(ChannelHandler by) {
-        handover.startHandover((HandoverLink) by);
+    @Override public void startHandover(ChannelHandler link) {
+        handover.startHandover((HandoverLink) link);
     }
 
-    /** Told on the event loop why it could not be kept, or null; and whether no later call was for the same runner. */
+    /** Called on the event loop after an update was written, or could not be. */
     private interface SaveListener {
-        void onSaved(String why, boolean last);
+        /** {@code failure} is null on success; {@code latest} says whether no later update is for the same backend. */
+        void onSaved(String failure, boolean latest);
     }
 
-    private void save(String id, CordonUpdate keeping, SaveListener then) {
+    private void save(String id, CordonUpdate update, SaveListener listener) {
         if (cordonStore == null) {
-            then.onSaved(null, true);
+            listener.onSaved(null, true);
             return;
         }
-        long call = ++updateCount;
-        lastUpdateByBackend.put(id, call);
+        long updateNumber = ++updateCount;
+        lastUpdateByBackend.put(id, updateNumber);
         writer.execute(() -> {
-            String why = null;
+            String message = null;
             try {
-                keeping.applyTo(cordonStore);
+                update.applyTo(cordonStore);
             } catch (IOException | RuntimeException e) {
-                Logger.warn("a call for {} can't be kept: {}", id, e.toString());
-                why = "it can't be kept: " + e.getClass().getSimpleName();
+                Logger.warn("Failed to store the cordon of backend {}: {}", id, e.toString());
+                message = "it can't be kept: " + e.getClass().getSimpleName();
             }
-            String told = why;
+            String failure = message;
             loop.execute(() -> {
-                boolean last = lastUpdateByBackend.remove(id, call);
-                then.onSaved(told, last);
+                boolean latest = lastUpdateByBackend.remove(id, updateNumber);
+                listener.onSaved(failure, latest);
             });
         });
     }
--- a/src/main/java/badgermux/SighupHandler.java
+++ b/src/main/java/badgermux/SighupHandler.java
@@ -3,29 +3,29 @@
 import java.lang.reflect.Proxy;
 
 /**
- * SIGHUP. Java has no other way to it than a class of the JDK's own, {@code sun.misc.Signal}, which is reached by its name
- * here: javac's warning of it can't be switched off, and warnings are errors in this project.
+ * Installs a handler for SIGHUP. The JDK offers signal handling only in {@code sun.misc.Signal}, which is accessed by
+ * reflection: javac's warning about direct use can't be suppressed, and this project treats warnings as errors.
  */
 final class SighupHandler {
     private SighupHandler() { }
 
-    /** Has this run for each SIGHUP, on a thread of its own, in place of the process's end. */
-    static void handle(Runnable what) {
+    /** Runs the action on a separate thread for each SIGHUP, instead of terminating the process. */
+    static void handle(Runnable action) {
         try {
-            Class<?> signal = Class.forName("sun.misc.Signal");
-            Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Object handling = Proxy.newProxyInstance(SighupHandler.class.getClassLoader(), new Class<?>[] {handler},
+            Class<?> signalClass = Class.forName("sun.misc.Signal");
+            Class<?> handlerClass = Class.forName("sun.misc.SignalHandler");
+            Object handler = Proxy.newProxyInstance(SighupHandler.class.getClassLoader(), new Class<?>[] {handlerClass},
                 (proxy, method, arguments) -> {
                     if (method.getName().equals("handle")) {
-                        what.run();
+                        action.run();
                         return null;
                     }
-                    return method.invoke(what, arguments);  // one of Object's
+                    return method.invoke(action, arguments);  // a method of Object, such as hashCode
                 });
-            signal.getMethod("handle", signal, handler)
-                .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), handling);
+            signalClass.getMethod("handle", signalClass, handlerClass)
+                .invoke(null, signalClass.getConstructor(String.class).newInstance("HUP"), handler);
         } catch (ReflectiveOperationException e) {
-            throw new IllegalStateException("SIGHUP can't be handled", e);
+            throw new IllegalStateException("Failed to install the SIGHUP handler", e);
         }
     }
 }
--- a/src/main/java/badgermux/discovery/BackendListCodec.java
+++ b/src/main/java/badgermux/discovery/BackendListCodec.java
@@ -9,21 +9,22 @@
 import java.util.Collection;
 import java.util.List;
 
-/** Decodes discovery's list. */
+/** Decodes and encodes the backend list in the JSON format of the discovery service. */
 public final class BackendListCodec {
-    /** An answer of discovery; fields that did not come are null or 0. */
+    /** A response of discovery: the whole list or its changes. Absent fields are null or 0. */
     public static final class BackendList {
         long revision;
+        /** Whether this is the whole list and not only the changes since a revision. */
         boolean complete;
         List<Member> members = List.of();
 
-        /** The newer of two lists. */
+        /** Returns the list with the higher revision. */
         public static BackendList newer(BackendList one, BackendList other) {
             return one.revision > other.revision ? one : other;
         }
     }
 
-    /** A backend as the list shows it. */
+    /** An entry of the list: one backend. */
     static final class Member {
         String id;
         String hostPort;
@@ -36,28 +37,32 @@
 
     private BackendListCodec() { }
 
-    /** The listing; an exception where the text is none. Read by hand: reflection costs a fresh process 30 ms. */
+    /**
+     * Decodes a list. The fields are read one by one, because reflection would cost a new process 30 ms.
+     *
+     * @throws JsonParseException if the text is not a list
+     */
     public static BackendList decode(String json) {
         try {
             return decodeList(JsonParser.parseString(json).getAsJsonObject());
         } catch (IllegalStateException | UnsupportedOperationException | NumberFormatException e) {
-            throw new JsonParseException("no list of members: " + e.getMessage());
+            throw new JsonParseException("not a list of members: " + e.getMessage());
         }
     }
 
-    /** Discovery's form of a whole list; what {@link #decode} reads. */
+    /** Encodes a whole list so that {@link #decode} can read it. */
     static JsonObject encode(long revision, Collection<Member> members) {
         JsonArray array = new JsonArray();
         for (Member member : members) {
-            JsonObject to = new JsonObject();
-            to.addProperty("id", member.id);
-            to.addProperty("host_port", member.hostPort);
-            to.addProperty("locality", member.locality);
-            to.addProperty("flavor", member.flavor);
-            to.addProperty("phase", member.phase);
-            to.addProperty("cell", member.cell);
-            to.addProperty("up_since_ms", member.upSinceMs);
-            array.add(to);
+            JsonObject object = new JsonObject();
+            object.addProperty("id", member.id);
+            object.addProperty("host_port", member.hostPort);
+            object.addProperty("locality", member.locality);
+            object.addProperty("flavor", member.flavor);
+            object.addProperty("phase", member.phase);
+            object.addProperty("cell", member.cell);
+            object.addProperty("up_since_ms", member.upSinceMs);
+            array.add(object);
         }
         JsonObject list = new JsonObject();
         list.addProperty("revision", revision);
@@ -66,33 +71,33 @@
         return list;
     }
 
-    private static BackendList decodeList(JsonObject from) {
-        BackendList listing = new BackendList();
-        listing.revision = from.has("revision") ? from.get("revision").getAsLong() : 0;
-        listing.complete = from.has("complete") && from.get("complete").getAsBoolean();
-        listing.members = new ArrayList<>();
-        if (from.has("members")) {
-            for (JsonElement member : from.get("members").getAsJsonArray()) {
-                listing.members.add(member.isJsonNull() ? null : decodeMember(member.getAsJsonObject()));
+    private static BackendList decodeList(JsonObject object) {
+        BackendList list = new BackendList();
+        list.revision = object.has("revision") ? object.get("revision").getAsLong() : 0;
+        list.complete = object.has("complete") && object.get("complete").getAsBoolean();
+        list.members = new ArrayList<>();
+        if (object.has("members")) {
+            for (JsonElement member : object.get("members").getAsJsonArray()) {
+                list.members.add(member.isJsonNull() ? null : decodeMember(member.getAsJsonObject()));
             }
         }
-        return listing;
+        return list;
     }
 
-    private static Member decodeMember(JsonObject from) {
+    private static Member decodeMember(JsonObject object) {
         Member member = new Member();
-        member.id = textOrNull(from, "id");
-        member.hostPort = textOrNull(from, "host_port");
-        member.locality = textOrNull(from, "locality");
-        member.flavor = textOrNull(from, "flavor");
-        member.phase = textOrNull(from, "phase");
-        member.cell = from.has("cell") ? from.get("cell").getAsInt() : 0;
-        member.upSinceMs = from.has("up_since_ms") ? from.get("up_since_ms").getAsDouble() : 0;
+        member.id = textOrNull(object, "id");
+        member.hostPort = textOrNull(object, "host_port");
+        member.locality = textOrNull(object, "locality");
+        member.flavor = textOrNull(object, "flavor");
+        member.phase = textOrNull(object, "phase");
+        member.cell = object.has("cell") ? object.get("cell").getAsInt() : 0;
+        member.upSinceMs = object.has("up_since_ms") ? object.get("up_since_ms").getAsDouble() : 0;
         return member;
     }
 
-    private static String textOrNull(JsonObject from, String key) {
-        JsonElement value = from.get(key);
+    private static String textOrNull(JsonObject object, String key) {
+        JsonElement value = object.get(key);
         return value == null || value.isJsonNull() ? null : value.getAsString();
     }
 }
--- a/src/main/java/badgermux/discovery/DiscoveryClient.java
+++ b/src/main/java/badgermux/discovery/DiscoveryClient.java
@@ -1,20 +1,20 @@
 package badgermux.discovery;
 
 import badgermux.backend.HttpBackendClient;
+import badgermux.cordon.Cordons;
 import badgermux.core.Clock;
 import badgermux.core.Deadlines;
 import badgermux.core.Engine;
 import badgermux.core.Names;
 import badgermux.decide.DispatchPolicy;
-import badgermux.decide.DispatchPolicy.ListUpdate;
 import badgermux.decide.DispatchPolicy.BackendState;
+import badgermux.decide.DispatchPolicy.ListUpdate;
 import badgermux.decide.WatchTiming;
-import badgermux.cordon.Cordons;
 import badgermux.http.Address;
 import badgermux.http.InvalidMessageException;
 import badgermux.http.MessageEncoder;
-import badgermux.http.OutboundConnection;
 import badgermux.http.MessageHead;
+import badgermux.http.OutboundConnection;
 import badgermux.metrics.Metrics;
 import badgermux.metrics.Metrics.Count;
 import com.google.gson.JsonParseException;
@@ -32,18 +32,26 @@
 import java.util.stream.Collectors;
 import org.tinylog.Logger;
 
-/** Watches discovery's list: one call after another, each from the version that the last one brought. */
+/**
+ * Watches the backend list of the discovery service: one long poll after another, each of which asks for the changes since
+ * the last revision received. Passes the list to the engine with operators' cordons applied.
+ */
 public final class DiscoveryClient {
-    /** Says what of a list is believed. */
+    /** Corrects a list before it is used, for instance one that leaves out backends by mistake. */
     public interface ListFilter {
-        /** The entries to go by; {@code before} are those last told that have not left since. */
+        /**
+         * Returns the entries to use.
+         *
+         * @param accepted the entries that earlier calls returned, by number, without those that have left since
+         */
         List<DispatchPolicy.Backend> filter(long now, ListUpdate update, List<DispatchPolicy.Backend> list,
-            Map<Long, DispatchPolicy.Backend> before);
+            Map<Long, DispatchPolicy.Backend> accepted);
     }
 
     private static final int MAX_LIST_BYTES = 4 << 20;
-    /** How soon a connection is tried again that could not be opened for want of a descriptor. */
+    /** The pause before the next attempt to connect if no file descriptor was available. */
     private static final long NO_DESCRIPTOR_RETRY_MICROS = 5_000;
+    /** How long the log line about a new backend is delayed. */
     private static final long LOG_DELAY_MICROS = 500_000;
     private static final Map<String, BackendState> STATES_BY_PHASE = Map.of("SERVING", BackendState.READY,
         "DRAINING", BackendState.DRAINING, "DELETED", BackendState.GONE);
@@ -60,61 +68,64 @@
     private final ListFilter listFilter;
     private final Cordons cordons;
     private final boolean listPushed;
+    /** The entries that the filter returned. Kept only where there is a filter. */
     private final Map<Long, DispatchPolicy.Backend> acceptedBackends = new HashMap<>();
-    /** The entries as believed, before operators' cordons: kept only where there are such. */
+    /** The accepted entries before cordons are applied. Kept only where operators can cordon backends. */
     private final Map<Long, DispatchPolicy.Backend> backendsBeforeCordons = new HashMap<>();
-    /** The entries as they came, by id, for the next process: kept only where there may be one. */
+    /** The entries as received, by id, for the next process. Kept only where there may be one. */
     private final Map<String, BackendListCodec.Member> membersById = new HashMap<>();
     private InetSocketAddress address;
-    private final Map<Long, String> names = new HashMap<>();
+    private final Map<Long, String> idsByNumber = new HashMap<>();
     private final Map<String, Long> numbersById = new HashMap<>();
     private OutboundConnection connection;
+    /** The exchange in progress; null where there is none. */
     private WatchExchange currentWatch;
     private long revision;
-    /** Since when its answers are older than the list in hand; 0 where they are not. */
+    /** Since when discovery has returned older revisions than the current list; 0 where it does not. */
     private long staleSinceMicros;
     private boolean hasList;
+    /** Whether the last request failed; only the first of several failures is logged. */
     private boolean failing;
-    /** Whether no list has come since a call failed, fell silent or went to another address. */
+    /** Whether no list was received since a request failed or timed out, or since the address changed. */
     private boolean recovering;
-    /** Whether the last call could not be made for want of a descriptor. */
+    /** Whether the last request could not be sent because no file descriptor was available. */
     private boolean outOfDescriptors;
-    /** Whether it is another discovery service that is asked now, which may count revisions of its own. */
+    /** Whether no list was received since the address changed: another service may number its revisions differently. */
     private boolean addressChanged;
 
     /**
-     * Joins discovery to an engine.
+     * Creates a client that does not send requests yet.
      *
-     * @param at    where it answers
-     * @param known the list as last held
-     * @param zones the names of the zones, in the module's order
-     * @param kinds the names of the kinds of backends, in the module's order
-     * @param guard says what of a list is believed; null for all of it
-     * @param cordons the runners that operators have taken out; null where they can't
-     * @param pushed whether the list comes unasked, from an agent beside us: the module then asks for none, and the agent
-     *               is watched from the start on, whatever becomes of a call
+     * @param discoveryAddress the address of the discovery service
+     * @param cachedList       the list as last known
+     * @param zoneNames        the names of the zones, by the decision module's index
+     * @param kindNames        the names of the kinds of backends, by the decision module's index
+     * @param listFilter       corrects lists before use; null to use them as received
+     * @param cordons          the backends cordoned by operators; null where operators can't cordon
+     * @param listPushed       whether the list comes from a local agent without being asked for by the decision module: the
+     *                         agent is then watched from the start, also after failed requests
      */
     public DiscoveryClient(EventLoopGroup loop, Deadlines deadlines, Clock clock, Metrics metrics, Engine<?> engine,
-            HttpBackendClient backends, InetSocketAddress at, BackendListCodec.BackendList known, List<String> zones,
-            List<String> kinds, ListFilter guard, Cordons cordons, boolean pushed) {
+            HttpBackendClient backends, InetSocketAddress discoveryAddress, BackendListCodec.BackendList cachedList,
+            List<String> zoneNames, List<String> kindNames, ListFilter listFilter, Cordons cordons, boolean listPushed) {
         this.loop = loop;
         this.deadlines = deadlines;
         this.clock = clock;
         this.metrics = metrics;
         this.engine = engine;
         this.backends = backends;
-        this.cachedList = known;
-        this.zoneNames = zones;
-        this.kindNames = kinds;
-        this.listFilter = guard;
+        this.cachedList = cachedList;
+        this.zoneNames = zoneNames;
+        this.kindNames = kindNames;
+        this.listFilter = listFilter;
         this.cordons = cordons;
-        this.listPushed = pushed;
-        metrics.registerDumpGauge("cluster_size", names::size);
-        metrics.registerDumpGauge("cluster_unhealthy", () -> names.keySet().stream().filter(engine::isAvoided).count());
-        address = at;
+        this.listPushed = listPushed;
+        metrics.registerDumpGauge("cluster_size", idsByNumber::size);
+        metrics.registerDumpGauge("cluster_unhealthy", () -> idsByNumber.keySet().stream().filter(engine::isAvoided).count());
+        address = discoveryAddress;
     }
 
-    /** Tells the module of the list as it was last held. */
+    /** Passes the cached list to the engine, and starts to watch where the list is pushed. */
     public void start() {
         revision = cachedList.revision;
         hasList = !cachedList.members.isEmpty();
@@ -124,19 +135,20 @@
         }
     }
 
-    /** Whether there is a list to work with. */
+    /** Whether a backend list is known, from the cache or from discovery. */
     public boolean hasList() {
         return hasList;
     }
 
-    /** Asks for changes from the version in hand on, until a call fails. */
+    /** Requests changes since the current revision, again and again until a request fails. */
     public void watch() {
         if (currentWatch != null) {
             return;
         }
         if (connection == null || !connection.isReusable()) {
             connection = new OutboundConnection(loop, deadlines, address,
-                listPushed ? WatchTiming.AGENT_CONNECT_TIMEOUT_MICROS : WatchTiming.CONNECT_TIMEOUT_MICROS, MAX_LIST_BYTES, () -> { });
+                listPushed ? WatchTiming.AGENT_CONNECT_TIMEOUT_MICROS : WatchTiming.CONNECT_TIMEOUT_MICROS, MAX_LIST_BYTES,
+                () -> { });
         }
         if (!connection.hasDescriptor()) {
             retryForDescriptor();
@@ -145,25 +157,29 @@
         outOfDescriptors = false;
         metrics.increment(Count.DIRECTOR_CALLS);
         currentWatch = new WatchExchange();
-        // Guards against a discovery service that takes the call and falls silent.
-        currentWatch.timeout = deadlines.scheduleAfter(recovering ? WatchTiming.RECOVERY_TIMEOUT_MICROS : WatchTiming.WATCH_TIMEOUT_MICROS, this::onWatchTimeout);
+        // Without the timeout, a discovery service that accepts the request and never responds would end the watch.
+        currentWatch.timeout = deadlines.scheduleAfter(
+            recovering ? WatchTiming.RECOVERY_TIMEOUT_MICROS : WatchTiming.WATCH_TIMEOUT_MICROS, this::onWatchTimeout);
         connection.start(currentWatch);
     }
 
-    /** Guards against a crowd that takes every descriptor as it becomes free: this is no failure, and has no pause. */
+    /**
+     * Retries soon, without reporting a failure, which would add a pause: under a flood of connections every descriptor is
+     * taken again as soon as it is released.
+     */
     private void retryForDescriptor() {
         connection = null;
         if (!outOfDescriptors) {
-            Logger.warn("there is no descriptor for a call to the director");
+            Logger.warn("No file descriptor available for the discovery request, retrying");
         }
         outOfDescriptors = true;
         deadlines.scheduleAfter(NO_DESCRIPTOR_RETRY_MICROS, this::watch);
     }
 
     /**
-     * A watch that has fallen silent is opened anew at once, on another connection: a drain that it missed counts as told
-     * soon, and after a pause, as behind a failure, the answer would come too late. Silence of the call made anew is a
-     * failure.
+     * Sends a watch that timed out again at once, on another connection. A drain that the silent watch missed counts as told
+     * within a few seconds; after the pause that follows a failure, the response would come too late. A second timeout in a
+     * row is a failure.
      */
     private void onWatchTimeout() {
         if (recovering) {
@@ -176,7 +192,7 @@
         }
     }
 
-    /** Forgets the call under way, of which the module hears nothing, and its connection. */
+    /** Drops the current exchange, without telling the decision module, and its connection. */
     private void abortWatch() {
         if (currentWatch != null) {
             deadlines.cancel(currentWatch.timeout);
@@ -189,12 +205,12 @@
     }
 
     /**
-     * Goes on with discovery at another address: watches there at once, from the version in hand on. The call under
-     * way is dropped, which is no failure: the module hears nothing of it.
+     * Continues with the discovery service at another address: watches there at once, from the current revision. The current
+     * exchange is dropped. That is not a failure, and the decision module is not told.
      */
-    public void switchTo(InetSocketAddress next) {
-        if (!next.equals(address)) {
-            address = next;
+    public void switchTo(InetSocketAddress newAddress) {
+        if (!newAddress.equals(address)) {
+            address = newAddress;
             addressChanged = true;
             recovering = true;
             abortWatch();
@@ -202,12 +218,12 @@
         watch();
     }
 
-    /** The list in hand goes on. One line tells of the first failure: a discovery service that is down fails many calls. */
-    private void onFailure(String why) {
+    /** Keeps the current list. Only the first failure in a row is logged, since an outage causes many. */
+    private void onFailure(String reason) {
         metrics.increment(Count.DIRECTOR_FAILURES);
         recovering = true;
         if (!failing) {
-            Logger.warn("the director fails: {}; the list in hand goes on", why);
+            Logger.warn("Discovery request failed: {}; keeping the current backend list", reason);
         }
         failing = true;
         engine.backendsListed(ListUpdate.FAILED, List.of());
@@ -216,169 +232,175 @@
         }
     }
 
-    /** Guards against a list that nobody watches any more: whatever comes of an answer, a call follows or a failure is told. */
+    /**
+     * Handles a response body. Whatever it holds, either the next watch starts or a failure is reported; otherwise nothing
+     * would watch the list any more.
+     */
     private void handleResponse(String json) {
         try {
             applyList(BackendListCodec.decode(json));
         } catch (JsonParseException e) {
-            onFailure("its list is malformed: " + e.getMessage());
+            onFailure("malformed list: " + e.getMessage());
         } catch (RuntimeException e) {
             metrics.increment(Count.EXCEPTIONS);
-            Logger.error(e, "exception in a list");
-            revision = 0;   // what of it was not told comes again with the whole
-            onFailure("its list can't be used");
+            Logger.error(e, "Exception while applying a backend list");
+            revision = 0;   // requests the whole list, since only part of this one may have been applied
+            onFailure("the list can't be applied");
         }
     }
 
-    private void applyList(BackendListCodec.BackendList listing) {
-        if (listing.revision < revision && !addressChanged) {
-            handleOlderList(listing);
+    private void applyList(BackendListCodec.BackendList list) {
+        if (list.revision < revision && !addressChanged) {
+            handleOlderList(list);
             return;
         }
-        // Guards against a change that another discovery service, with revisions of its own, made before that one.
-        boolean begunAnew = listing.revision < revision && !listing.complete;
+        // Another service numbers its revisions differently and may have made changes before this one: request its whole list.
+        boolean needsWholeList = list.revision < revision && !list.complete;
         staleSinceMicros = 0;
         addressChanged = false;
         if (failing) {
-            Logger.info("the director answers again");
+            Logger.info("Discovery requests succeed again");
         }
         failing = false;
         recovering = false;
         metrics.increment(Count.DIRECTOR_LISTS);
-        revision = begunAnew ? 0 : listing.revision;
-        hasList |= listing.complete || !listing.members.isEmpty();
-        // The next call goes out first: a watch goes on only if it follows at once.
+        revision = needsWholeList ? 0 : list.revision;
+        hasList |= list.complete || !list.members.isEmpty();
+        // Sent before the list is applied: discovery treats a watch as continued only if the next request follows at once.
         watch();
-        publish(listing.complete ? ListUpdate.FULL : ListUpdate.DELTA, toBackends(listing.members));
+        publish(list.complete ? ListUpdate.FULL : ListUpdate.DELTA, toBackends(list.members));
     }
 
     /**
-     * Guards against a discovery service that lags: its older list would bring back who has left. One that has begun anew
-     * counts its revisions from the start, too, and what it writes is told: who drains or has left there gets nothing new
-     * from here on, and the whole list, which tells which of the two it is, is asked for next.
+     * Handles a list with an older revision than the current one. It may come from a replica that lags, whose list would
+     * bring back backends that have left, or from a service that was restarted and numbers its revisions from the start. In
+     * either case backends that it lists as draining or gone get no new requests, and the whole list is requested next,
+     * which shows which case it is.
      */
-    private void handleOlderList(BackendListCodec.BackendList listing) {
-        List<DispatchPolicy.Backend> leaving = toBackends(listing.members.stream()
+    private void handleOlderList(BackendListCodec.BackendList list) {
+        List<DispatchPolicy.Backend> leaving = toBackends(list.members.stream()
             .filter(member -> member != null && numbersById.containsKey(member.id) && !"SERVING".equals(member.phase)).toList());
         staleSinceMicros = staleSinceMicros == 0 ? clock.nowMicros() : staleSinceMicros;
         if (!leaving.isEmpty()) {
             publish(ListUpdate.DELTA, leaving);
         }
-        onFailure("its revision " + listing.revision + " is older than the one in hand");
+        onFailure("revision " + list.revision + " is older than the current one");
         if (clock.nowMicros() - staleSinceMicros > WatchTiming.MAX_STALE_REVISIONS_MICROS || !leaving.isEmpty()) {
             revision = 0;
             watch();
         }
     }
 
-    /** The module hears of the news first; then who has left is forgotten here, so that the tables do not grow. */
-    private void publish(ListUpdate update, List<DispatchPolicy.Backend> listed) {
-        List<DispatchPolicy.Backend> workers = listFilter == null ? listed : listFilter.filter(clock.nowMicros(), update, listed, acceptedBackends);
+    /** Passes the list to the engine, and then forgets the backends that have left, so that the maps do not grow. */
+    private void publish(ListUpdate update, List<DispatchPolicy.Backend> received) {
+        List<DispatchPolicy.Backend> accepted = listFilter == null ? received
+            : listFilter.filter(clock.nowMicros(), update, received, acceptedBackends);
         if (listFilter != null) {
             if (update != ListUpdate.DELTA) {
                 acceptedBackends.clear();
             }
-            workers.forEach(worker -> acceptedBackends.put(worker.id(), worker));
+            accepted.forEach(backend -> acceptedBackends.put(backend.id(), backend));
         }
-        updateEngine(update, cordons == null ? workers : applyCordons(update, workers));
-        Set<Long> gone = new HashSet<>(update == ListUpdate.DELTA ? Set.of() : names.keySet());
-        for (DispatchPolicy.Backend worker : workers) {
-            if (worker.state() == BackendState.GONE) {
-                gone.add(worker.id());
+        updateEngine(update, cordons == null ? accepted : applyCordons(update, accepted));
+        Set<Long> gone = new HashSet<>(update == ListUpdate.DELTA ? Set.of() : idsByNumber.keySet());
+        for (DispatchPolicy.Backend backend : accepted) {
+            if (backend.state() == BackendState.GONE) {
+                gone.add(backend.id());
             } else {
-                gone.remove(worker.id());
+                gone.remove(backend.id());
             }
         }
-        for (Long id : gone) {
-            backends.removeBackend(id);
-            numbersById.remove(names.remove(id));
+        for (Long number : gone) {
+            backends.removeBackend(number);
+            numbersById.remove(idsByNumber.remove(number));
         }
     }
 
-    /** The module hears of it first, so that what is taken back from those that drain goes elsewhere. */
-    private void updateEngine(ListUpdate update, List<DispatchPolicy.Backend> seen) {
-        engine.backendsListed(update, seen);
-        seen.stream().filter(worker -> worker.state() == BackendState.DRAINING)
-            .forEach(worker -> backends.withdrawUnsentAttempts(worker.id()));
+    /** Updates the engine first, so that attempts withdrawn from draining backends are sent to others. */
+    private void updateEngine(ListUpdate update, List<DispatchPolicy.Backend> changes) {
+        engine.backendsListed(update, changes);
+        changes.stream().filter(backend -> backend.state() == BackendState.DRAINING)
+            .forEach(backend -> backends.withdrawUnsentAttempts(backend.id()));
     }
 
-    private List<DispatchPolicy.Backend> applyCordons(ListUpdate update, List<DispatchPolicy.Backend> workers) {
+    private List<DispatchPolicy.Backend> applyCordons(ListUpdate update, List<DispatchPolicy.Backend> accepted) {
         if (update != ListUpdate.DELTA) {
             backendsBeforeCordons.clear();
-            membersById.keySet().retainAll(workers.stream().map(worker -> names.get(worker.id())).collect(Collectors.toSet()));
+            membersById.keySet().retainAll(
+                accepted.stream().map(backend -> idsByNumber.get(backend.id())).collect(Collectors.toSet()));
         }
-        for (DispatchPolicy.Backend worker : workers) {
-            if (worker.state() == BackendState.GONE) {
-                backendsBeforeCordons.remove(worker.id());
-                membersById.remove(names.get(worker.id()));
+        for (DispatchPolicy.Backend backend : accepted) {
+            if (backend.state() == BackendState.GONE) {
+                backendsBeforeCordons.remove(backend.id());
+                membersById.remove(idsByNumber.get(backend.id()));
             } else {
-                backendsBeforeCordons.put(worker.id(), worker);
+                backendsBeforeCordons.put(backend.id(), backend);
             }
         }
-        return workers.stream().map(worker -> cordons.applyTo(names.get(worker.id()), worker)).toList();
+        return accepted.stream().map(backend -> cordons.applyTo(idsByNumber.get(backend.id()), backend)).toList();
     }
 
-    /** Whether the list names a backend, by its id there. */
-    public boolean names(String id) {
+    /** Whether the list contains a backend with this id. */
+    public boolean isListed(String id) {
         return numbersById.containsKey(id);
     }
 
-    /** The list as last held, in discovery's form. */
+    /** Returns the whole list in discovery's format, for the next process. */
     public String encodeList() {
         return BackendListCodec.encode(revision, membersById.values()).toString();
     }
 
-    /** Tells the module of all backends as they are seen now. */
+    /** Passes all backends to the engine again after the cordons have changed. */
     public void republishAll() {
         updateEngine(ListUpdate.DELTA, backendsBeforeCordons.values().stream()
-            .map(worker -> cordons.applyTo(names.get(worker.id()), worker)).toList());
+            .map(backend -> cordons.applyTo(idsByNumber.get(backend.id()), backend)).toList());
     }
 
-    /** Tells the module of a backend as it is seen now that it was taken out or put back; one not listed waits. */
+    /** Passes a backend to the engine again after its cordon has changed; does nothing if it is not listed. */
     public void republish(String id) {
         Long number = numbersById.get(id);
-        DispatchPolicy.Backend worker = number == null ? null : backendsBeforeCordons.get(number);
-        if (worker != null) {
-            updateEngine(ListUpdate.DELTA, List.of(cordons.applyTo(id, worker)));
+        DispatchPolicy.Backend backend = number == null ? null : backendsBeforeCordons.get(number);
+        if (backend != null) {
+            updateEngine(ListUpdate.DELTA, List.of(cordons.applyTo(id, backend)));
         }
     }
 
     private List<DispatchPolicy.Backend> toBackends(List<BackendListCodec.Member> members) {
-        List<DispatchPolicy.Backend> workers = new ArrayList<>();
+        List<DispatchPolicy.Backend> result = new ArrayList<>();
         for (BackendListCodec.Member member : members) {
-            DispatchPolicy.Backend worker = member == null || member.id == null ? null : toBackend(member);
-            if (worker != null) {
-                workers.add(worker);
+            DispatchPolicy.Backend backend = member == null || member.id == null ? null : toBackend(member);
+            if (backend != null) {
+                result.add(backend);
             } else {
                 metrics.increment(Count.DIRECTOR_ENTRIES_SKIPPED);
-                Logger.warn("an entry of the director's list makes no sense: {}", member == null ? null : member.id);
+                Logger.warn("Skipped an invalid entry of the backend list: {}", member == null ? null : member.id);
             }
         }
-        return workers;
+        return result;
     }
 
-    /** An entry in the module's terms; null where it can't be understood. */
+    /** Converts an entry to the decision module's form; null if its phase, zone, kind or address is not valid. */
     private DispatchPolicy.Backend toBackend(BackendListCodec.Member member) {
-        long id = numberOf(member.id);
+        long number = numberOf(member.id);
         BackendState state = STATES_BY_PHASE.get(member.phase);
-        InetSocketAddress address = member.hostPort == null ? null : Address.parse(member.hostPort);
+        InetSocketAddress backendAddress = member.hostPort == null ? null : Address.parse(member.hostPort);
         int zone = Names.indexOf(zoneNames, member.locality);
         int kind = Names.indexOf(kindNames, member.flavor);
-        if (state == null || zone < 0 || kind < 0 || address == null && state != BackendState.GONE) {
+        if (state == null || zone < 0 || kind < 0 || backendAddress == null && state != BackendState.GONE) {
             return null;
         }
-        if (address != null) {
-            backends.setAddress(id, address);
+        if (backendAddress != null) {
+            backends.setAddress(number, backendAddress);
         }
         if (cordons != null) {
             membersById.put(member.id, member);
         }
-        return new DispatchPolicy.Backend(id, zone, kind, member.cell, state, clock.fromUnixMillis(member.upSinceMs));
+        return new DispatchPolicy.Backend(number, zone, kind, member.cell, state, clock.fromUnixMillis(member.upSinceMs));
     }
 
     /**
-     * The module's number for an id: a hash of its text, so that every dispatcher sorts the same backends into the same
-     * groups, today and after a restart. Ids that meet there take the next free number.
+     * Returns the decision module's number for an id: a hash of the id, so that every dispatcher forms the same groups of
+     * backends, also after a restart. An id whose hash is taken gets the next free number.
      */
     private long numberOf(String id) {
         Long known = numbersById.get(id);
@@ -386,26 +408,26 @@
             return known;
         }
         long hash = Names.hash(id);
-        while (names.containsKey(hash)) {
+        while (idsByNumber.containsKey(hash)) {
             hash++;
         }
-        long name = hash;
-        // Guards against a start that waits for its log: the first line of a process costs more than all else here.
-        deadlines.scheduleAfter(LOG_DELAY_MICROS, () -> Logger.info("worker {} is backend {}", Long.toHexString(name), id));
-        names.put(hash, id);
+        long number = hash;
+        // Logged later: the first log line of a process takes longer than all the rest here and would delay the start.
+        deadlines.scheduleAfter(LOG_DELAY_MICROS, () -> Logger.info("Backend {} has the id {}", Long.toHexString(number), id));
+        idsByNumber.put(hash, id);
         numbersById.put(id, hash);
         return hash;
     }
 
-    /** One call for changes. */
+    /** One request for changes of the list. */
     private final class WatchExchange implements OutboundConnection.Exchange {
         private final ByteArrayOutputStream body = new ByteArrayOutputStream();
         private Deadlines.Deadline timeout;
         private int status;
 
         @Override public ByteBuf createRequest() {
-            long wait = recovering ? WatchTiming.RECOVERY_WAIT_MICROS : WatchTiming.WATCH_WAIT_MICROS;
-            return MessageEncoder.getRequest("/v1/servers?since=" + revision + "&timeout_ms=" + wait / 1000,
+            long waitMicros = recovering ? WatchTiming.RECOVERY_WAIT_MICROS : WatchTiming.WATCH_WAIT_MICROS;
+            return MessageEncoder.getRequest("/v1/servers?since=" + revision + "&timeout_ms=" + waitMicros / 1000,
                 address.getHostString() + ':' + address.getPort());
         }
 
@@ -428,7 +450,7 @@
 
         @Override public void onConnectionFailed(boolean written) {
             finish();
-            onFailure(written ? "no whole answer" : "it can't be reached");
+            onFailure(written ? "incomplete response" : "can't connect");
         }
 
         private void finish() {
--- a/src/main/java/badgermux/discovery/package-info.java
+++ b/src/main/java/badgermux/discovery/package-info.java
@@ -1,2 +1,2 @@
-/** Discovery's list of backends, and the watch on it. */
+/** The client of the discovery service, which provides the list of backends. */
 package badgermux.discovery;
--- a/src/main/java/badgermux/package-info.java
+++ b/src/main/java/badgermux/package-info.java
@@ -1,2 +1,2 @@
-/** One dispatcher: its two commands, and what joins its parts. */
+/** The dispatcher program: its entry point, and the classes that create and connect its components. */
 package badgermux;
--- a/src/test/java/badgermux/DescriptorBudgetTest.java
+++ b/src/test/java/badgermux/DescriptorBudgetTest.java
@@ -8,14 +8,15 @@
 import net.jqwik.api.constraints.IntRange;
 
 class DescriptorBudgetTest {
-    /** What a process was seen to hold with no connection of clients, backends or callers, links and a file included. */
+    /** Descriptors of a process without connections of clients, backends or operators; includes links and one file. */
     private static final int BASELINE_DESCRIPTORS = 20;
 
-    /** From half of the least limit on, all shares together keep within the descriptors told. */
-    @Property void sharesFitWithinTheLimit(@ForAll @IntRange(min = 64, max = 1024) int sockets, @ForAll boolean called) {
-        DescriptorBudget budget = DescriptorBudget.of(sockets, called);
-        assertTrue(budget.clientConnections() + budget.excessClientConnections() + budget.backendConnections() + budget.consoleConnections() + BASELINE_DESCRIPTORS <= sockets, budget.toString());
-        assertTrue(budget.clientConnections() >= sockets / 3, "clients with reqs hold a third at most");
-        assertEquals(called, budget.consoleConnections() > 0);
+    /** Starts at half of the smallest limit, because each of two linked processes gets half. */
+    @Property void sharesFitWithinTheLimit(@ForAll @IntRange(min = 64, max = 1024) int maxDescriptors, @ForAll boolean hasConsole) {
+        DescriptorBudget budget = DescriptorBudget.of(maxDescriptors, hasConsole);
+        assertTrue(budget.clientConnections() + budget.excessClientConnections() + budget.backendConnections()
+            + budget.consoleConnections() + BASELINE_DESCRIPTORS <= maxDescriptors, budget.toString());
+        assertTrue(budget.clientConnections() >= maxDescriptors / 3, "clients with open requests may take a third");
+        assertEquals(hasConsole, budget.consoleConnections() > 0);
     }
 }
--- a/src/test/java/badgermux/KnownRedTest.java
+++ b/src/test/java/badgermux/KnownRedTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What CI leaves out: just what KNOWN-RED.txt names, three tests at most, each of which there is. */
+/** Tests the script that reads KNOWN-RED.txt: CI excludes exactly the tests listed there, three at most, which must exist. */
 class KnownRedTest {
     private static final String FIRST_ENTRY = "badgermux.SomeTest#one, a cause, with a comma, issue 7\n";
     private static final String SECOND_ENTRY = "badgermux.SomeTest#other, a cause, issue 25\n";
@@ -24,17 +24,17 @@
             + "    @Property void other(@ForAll int x) { }\n\n    private static void helper() { }\n}\n");
     }
 
-    private String runScript(int status) throws IOException, InterruptedException {
+    private String runScript(int expectedStatus) throws IOException, InterruptedException {
         Process process = new ProcessBuilder(Path.of(".ci", "known-red").toAbsolutePath().toString())
             .directory(root.toFile()).redirectErrorStream(true).start();
-        String printed = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        assertEquals(status, process.waitFor(), printed);
-        return printed;
+        String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        assertEquals(expectedStatus, process.waitFor(), output);
+        return output;
     }
 
-    private String runScript(int status, String red) throws IOException, InterruptedException {
-        Files.writeString(root.resolve("KNOWN-RED.txt"), red);
-        return runScript(status);
+    private String runScript(int expectedStatus, String knownRed) throws IOException, InterruptedException {
+        Files.writeString(root.resolve("KNOWN-RED.txt"), knownRed);
+        return runScript(expectedStatus);
     }
 
     @Test void excludesNothingWithoutEntries() throws IOException, InterruptedException {
@@ -49,7 +49,8 @@
 
     @Test void rejectsMoreThanThreeEntries() throws IOException, InterruptedException {
         runScript(0, FIRST_ENTRY.repeat(3));
-        assertEquals("KNOWN-RED.txt: more than three lines", runScript(1, FIRST_ENTRY.repeat(4)).lines().reduce((a, b) -> b).orElseThrow());
+        assertEquals("KNOWN-RED.txt: more than three lines",
+            runScript(1, FIRST_ENTRY.repeat(4)).lines().reduce((previous, last) -> last).orElseThrow());
     }
 
     @Test void rejectsMalformedAndUnknownEntries() throws IOException, InterruptedException {
