--- a/src/main/java/badgermux/upgrade/HandoverLink.java
+++ b/src/main/java/badgermux/upgrade/HandoverLink.java
@@ -10,24 +10,24 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * The connection between two processes of one dispatcher, lines both ways. It ends with either process, and is ended
- * where the other falls silent: each side says something ten times a second.
+ * The connection between two processes of one dispatcher, which send each other lines of text. Each side sends a heartbeat
+ * ten times a second; a link on which the other side is silent for too long is closed.
  */
 public final class HandoverLink extends ChannelInboundHandlerAdapter {
-    /** Who is told of it, on the event loop. */
+    /** Receives the events of a link, on the event loop. */
     public interface Listener {
-        /** A line has come. */
+        /** Called for each line received, without its line end. */
         void onLine(HandoverLink link, String line);
 
-        /** It has ended, in whatever way; told once. */
+        /** Called once when the link is closed, by either side or by an error. */
         void onClosed(HandoverLink link);
     }
 
-    /** How often each side says something. */
+    /** The interval at which each side sends a line. */
     public static final long HEARTBEAT_MICROS = 100_000;
-    /** One that says nothing for so long is taken for dead: many beats, since its core may be shared. */
+    /** A silent link is closed after this time: many heartbeats, since the other process may share its core. */
     public static final long SILENCE_TIMEOUT_MICROS = 1_500_000;
-    /** A list of thousands of runners fits. */
+    /** Large enough for a list of thousands of backends. */
     private static final int MAX_LINE_BYTES = 4 << 20;
 
     private final Deadlines deadlines;
@@ -37,10 +37,10 @@
     private Deadlines.Deadline silenceTimeout;
     private boolean closed;
 
-    /** Made before its connection is up; it counts as silent from here on. */
-    public HandoverLink(Deadlines deadlines, Listener end) {
+    /** Creates the link before its connection is established; the silence timeout starts here. */
+    public HandoverLink(Deadlines deadlines, Listener listener) {
         this.deadlines = deadlines;
-        this.listener = end;
+        this.listener = listener;
         silenceTimeout = deadlines.scheduleAfter(SILENCE_TIMEOUT_MICROS, this::close);
     }
 
@@ -48,14 +48,14 @@
         context = ctx;
     }
 
-    /** Sends a line; one to a connection that has ended is dropped. */
+    /** Sends a line. Does nothing if the link is closed. */
     public void send(String line) {
         if (!closed && context != null && context.channel().isActive()) {
             context.writeAndFlush(Unpooled.wrappedBuffer((line + "\n").getBytes(StandardCharsets.UTF_8)));
         }
     }
 
-    /** Ends it from this side. */
+    /** Closes the link. */
     public void close() {
         if (context != null) {
             context.close();
--- a/src/main/java/badgermux/upgrade/HandoverReadiness.java
+++ b/src/main/java/badgermux/upgrade/HandoverReadiness.java
@@ -1,63 +1,67 @@
 package badgermux.upgrade;
 
 /**
- * What a new process knows of the one before it, and whether that one may be ended. Pure: times in microseconds and news
- * come in. Without a process before it, it is ready by itself.
+ * Tracks a handover in the new process and decides when the previous process may be stopped. Without a previous process the
+ * new one is ready at once. Pure: it does no I/O, and the caller passes in events and times in microseconds.
  */
 public final class HandoverReadiness {
-    /** The yes is due 6 s after a process's start: so long at most the jobs of the process before are waited for. */
+    /**
+     * How long after its start this process waits for the previous one's requests, at most. Readiness is due 6 s after the
+     * start.
+     */
     public static final long MAX_WAIT_MICROS = 4_800_000;
 
     private boolean previousConnected;
     private boolean servingStarted;
     private boolean previousHandedOver;
     private long waitUntilMicros;
-    /** Jobs open at the process before, as told since it has handed over; -1 before that. */
+    /** Open requests of the previous process, as reported since it handed over; -1 before that. */
     private int previousOpenRequests = -1;
 
-    /** There is a process before this one, which was started at a time. */
-    public void previousConnected(long startedAt) {
+    /** Records that a previous process is connected; {@code startedAtMicros} is when this process was started. */
+    public void previousConnected(long startedAtMicros) {
         previousConnected = true;
-        waitUntilMicros = startedAt + MAX_WAIT_MICROS;
+        waitUntilMicros = startedAtMicros + MAX_WAIT_MICROS;
     }
 
-    /** This process serves from now on. */
+    /** Records that this process serves from now on. */
     public void servingStarted() {
         servingStarted = true;
     }
 
-    /** Whether this process has begun to serve. */
+    /** Whether this process has started to serve. */
     public boolean isServing() {
         return servingStarted;
     }
 
-    /** The process before has heard that this one serves: it takes no new jobs from here on. */
+    /** Records that the previous process knows that this one serves: it accepts no requests from here on. */
     public void previousHandedOver() {
         previousHandedOver = true;
     }
 
-    /** The process before tells how many of its jobs are open. */
-    public void previousReportsOpen(int jobs) {
-        // Guards against a figure that was on its way when this process began to serve: jobs may have come since.
-        previousOpenRequests = previousHandedOver ? jobs : -1;
+    /** Records how many open requests the previous process reports. */
+    public void previousReportsOpen(int requests) {
+        // A number sent before the handover is ignored: the previous process may have accepted requests since.
+        previousOpenRequests = previousHandedOver ? requests : -1;
     }
 
-    /** The process before has ended, or is given up. */
+    /** Records that the previous process has ended or that its link was closed. */
     public void previousDisconnected() {
         previousConnected = false;
     }
 
-    /** Whether there is a process before this one. */
+    /** Whether a previous process is connected. */
     public boolean hasPrevious() {
         return previousConnected;
     }
 
-    /** Why the process before may not be ended yet; null where it may. */
-    public String blockedReason(long now) {
-        if (!previousConnected || servingStarted && (previousOpenRequests == 0 || now >= waitUntilMicros)) {
+    /** Returns why the previous process must not be stopped yet; null where it may be. */
+    public String blockedReason(long nowMicros) {
+        if (!previousConnected || servingStarted && (previousOpenRequests == 0 || nowMicros >= waitUntilMicros)) {
             return null;
         }
-        return servingStarted ? "serving, but the process before this one still has " + (previousOpenRequests < 0 ? "" : previousOpenRequests + " ")
-            + "jobs to answer" : "the process before this one has not handed over yet";
+        return servingStarted ? "serving, but the process before this one still has "
+            + (previousOpenRequests < 0 ? "" : previousOpenRequests + " ") + "jobs to answer"
+            : "the process before this one has not handed over yet";
     }
 }
--- a/src/main/java/badgermux/upgrade/HandoverState.java
+++ b/src/main/java/badgermux/upgrade/HandoverState.java
@@ -9,47 +9,51 @@
 import java.util.Map;
 
 /**
- * What a process holds that the next one goes on from, as one line of JSON.
+ * The state that one process passes to the next, encoded as one line of JSON.
  *
- * @param backendList the list, in discovery's form
- * @param cordoned  the runners cordoned, and since when, as Unix time in milliseconds
- * @param returned those that came back lately: since when they had been out, and when they came back
+ * @param backendList the backend list in discovery's format
+ * @param cordoned    the cordoned backends by id, with the Unix time in milliseconds of the cordon
+ * @param returned    the backends that returned recently, with the Unix times in milliseconds of their cordon and return
  */
 public record HandoverState(String backendList, Map<String, Long> cordoned, Map<String, long[]> returned) {
-    /** The line, without its end. */
+    /** Encodes the state as a line without a line end. */
     public String encode() {
         JsonObject line = new JsonObject();
         line.add("list", JsonParser.parseString(backendList));
-        JsonObject runners = new JsonObject();
-        cordoned.forEach(runners::addProperty);
-        line.add("out", runners);
-        JsonObject returned = new JsonObject();
-        this.returned.forEach((id, times) -> {
-            JsonArray two = new JsonArray();
-            two.add(times[0]);
-            two.add(times[1]);
-            returned.add(id, two);
+        JsonObject cordonedJson = new JsonObject();
+        cordoned.forEach(cordonedJson::addProperty);
+        line.add("out", cordonedJson);
+        JsonObject returnedJson = new JsonObject();
+        returned.forEach((id, times) -> {
+            JsonArray pair = new JsonArray();
+            pair.add(times[0]);
+            pair.add(times[1]);
+            returnedJson.add(id, pair);
         });
-        line.add("back", returned);
+        line.add("back", returnedJson);
         return line.toString();
     }
 
-    /** What {@link #encode} made the line of; an exception where it made none such. */
+    /**
+     * Decodes a line written by {@link #encode}.
+     *
+     * @throws JsonParseException for any other text
+     */
     public static HandoverState decode(String line) {
         try {
-            JsonObject from = JsonParser.parseString(line).getAsJsonObject();
-            Map<String, Long> out = new HashMap<>();
-            for (Map.Entry<String, JsonElement> runner : from.getAsJsonObject("out").entrySet()) {
-                out.put(runner.getKey(), runner.getValue().getAsLong());
+            JsonObject object = JsonParser.parseString(line).getAsJsonObject();
+            Map<String, Long> cordoned = new HashMap<>();
+            for (Map.Entry<String, JsonElement> backend : object.getAsJsonObject("out").entrySet()) {
+                cordoned.put(backend.getKey(), backend.getValue().getAsLong());
             }
-            Map<String, long[]> back = new HashMap<>();
-            for (Map.Entry<String, JsonElement> runner : from.getAsJsonObject("back").entrySet()) {
-                JsonArray two = runner.getValue().getAsJsonArray();
-                back.put(runner.getKey(), new long[] {two.get(0).getAsLong(), two.get(1).getAsLong()});
+            Map<String, long[]> returned = new HashMap<>();
+            for (Map.Entry<String, JsonElement> backend : object.getAsJsonObject("back").entrySet()) {
+                JsonArray pair = backend.getValue().getAsJsonArray();
+                returned.put(backend.getKey(), new long[] {pair.get(0).getAsLong(), pair.get(1).getAsLong()});
             }
-            return new HandoverState(from.getAsJsonObject("list").toString(), out, back);
+            return new HandoverState(object.getAsJsonObject("list").toString(), cordoned, returned);
         } catch (RuntimeException e) {
-            throw new JsonParseException("nothing that a process holds: " + e.getMessage());
+            throw new JsonParseException("not a handover state: " + e.getMessage());
         }
     }
 }
--- a/src/main/java/badgermux/upgrade/LearnedStateCodec.java
+++ b/src/main/java/badgermux/upgrade/LearnedStateCodec.java
@@ -10,48 +10,57 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What the module of one process leaves to that of the next, as one line of JSON. */
+/** Encodes and decodes the decision module's learned state as one line of JSON. */
 public final class LearnedStateCodec {
     private LearnedStateCodec() { }
 
-    /** The line, without its end; {@code of} is the fingerprint of the settings that it was learnt under. */
-    public static String encode(LearnedState left, String of) {
-        JsonArray learnt = new JsonArray();
-        for (double figure : left.statistics()) {
-            learnt.add(Double.isFinite(figure) ? figure : 0);
+    /**
+     * Encodes the state as a line without a line end.
+     *
+     * @param settingsFingerprint hash of the settings under which the state was learned
+     */
+    public static String encode(LearnedState state, String settingsFingerprint) {
+        JsonArray statistics = new JsonArray();
+        for (double value : state.statistics()) {
+            statistics.add(Double.isFinite(value) ? value : 0);
         }
-        JsonArray pushes = new JsonArray();
-        for (SentWork push : left.recentSends()) {
-            JsonArray one = new JsonArray();
-            one.add(push.backendId());
-            one.add(push.sentAtMicros());
-            one.add(push.slotMicros());
-            pushes.add(one);
+        JsonArray sends = new JsonArray();
+        for (SentWork sent : state.recentSends()) {
+            JsonArray item = new JsonArray();
+            item.add(sent.backendId());
+            item.add(sent.sentAtMicros());
+            item.add(sent.slotMicros());
+            sends.add(item);
         }
         JsonObject line = new JsonObject();
-        line.addProperty("of", of);
-        line.add("learnt", learnt);
-        line.add("pushes", pushes);
+        line.addProperty("of", settingsFingerprint);
+        line.add("learnt", statistics);
+        line.add("pushes", sends);
         return line.toString();
     }
 
-    /** What {@link #encode} made the line of; an exception where it made none such, or under other settings than these. */
-    public static LearnedState decode(String line, String of) {
+    /**
+     * Decodes a line written by {@link #encode}.
+     *
+     * @throws JsonParseException for any other text, and for a state that was learned under other settings
+     */
+    public static LearnedState decode(String line, String settingsFingerprint) {
         try {
-            JsonObject from = JsonParser.parseString(line).getAsJsonObject();
-            // Guards against figures of another customer, or of a configuration before: as many may stand for others.
-            if (!from.get("of").getAsString().equals(of)) {
-                throw new JsonParseException("it was learnt under other settings");
+            JsonObject object = JsonParser.parseString(line).getAsJsonObject();
+            // Under other settings, or those of another site, the same array positions may have other meanings.
+            if (!object.get("of").getAsString().equals(settingsFingerprint)) {
+                throw new JsonParseException("learned under other settings");
             }
-            double[] learnt = from.getAsJsonArray("learnt").asList().stream().mapToDouble(JsonElement::getAsDouble).toArray();
-            List<SentWork> pushes = new ArrayList<>();
-            for (JsonElement push : from.getAsJsonArray("pushes")) {
-                JsonArray one = push.getAsJsonArray();
-                pushes.add(new SentWork(one.get(0).getAsLong(), one.get(1).getAsLong(), one.get(2).getAsDouble()));
+            double[] statistics = object.getAsJsonArray("learnt").asList().stream()
+                .mapToDouble(JsonElement::getAsDouble).toArray();
+            List<SentWork> sends = new ArrayList<>();
+            for (JsonElement element : object.getAsJsonArray("pushes")) {
+                JsonArray item = element.getAsJsonArray();
+                sends.add(new SentWork(item.get(0).getAsLong(), item.get(1).getAsLong(), item.get(2).getAsDouble()));
             }
-            return new LearnedState(learnt, pushes);
+            return new LearnedState(statistics, sends);
         } catch (RuntimeException e) {
-            throw new JsonParseException("no heritage: " + e.getMessage());
+            throw new JsonParseException("not a learned state: " + e.getMessage());
         }
     }
 }
--- a/src/main/java/badgermux/upgrade/LearnedStateFile.java
+++ b/src/main/java/badgermux/upgrade/LearnedStateFile.java
@@ -11,71 +11,73 @@
 import org.tinylog.Logger;
 
 /**
- * What the module has learnt, kept for the process that is started after this one: two lines, of what it was learnt and
- * when, and the {@link LearnedStateCodec heritage}. The file is replaced whole, so that a crash leaves the one before. Used by
- * one thread at a time, which may block.
+ * The file in which a process leaves its learned state for the next one. It has two lines: a header with the settings and
+ * the time, and the {@link LearnedStateCodec encoded state}. The file is replaced as a whole, so a crash leaves the previous
+ * version. Methods block and must be called by one thread at a time.
  */
 public final class LearnedStateFile {
-    /** Free slots and loads of a minute ago tell nothing; in milliseconds. */
+    /** Older files are ignored: free slots and loads of more than a minute ago are no longer useful. */
     static final long MAX_AGE_MILLIS = 60_000;
-    /** More than any heritage takes; a larger file is none of ours. */
+    /** Larger files are ignored: this program writes none of that size. */
     private static final long MAX_FILE_BYTES = 4 << 20;
 
     private final Path file;
     private final String settingsFingerprint;
 
     /**
-     * Names the file; nothing is read or made yet.
+     * Sets the file's path; nothing is read or created yet.
      *
-     * @param folder where it is kept, made when it is first written
-     * @param of     the fingerprint of all settings: what was learnt under others is not read
+     * @param folder              the folder of the file, created on the first write
+     * @param settingsFingerprint hash of all settings; a state learned under other settings is not read
      */
-    public LearnedStateFile(Path folder, String of) {
+    public LearnedStateFile(Path folder, String settingsFingerprint) {
         file = folder.resolve("learnt");
-        this.settingsFingerprint = of;
+        this.settingsFingerprint = settingsFingerprint;
     }
 
     /**
-     * What the process before left; null where it left nothing, long ago, or under other settings. Where that process may
-     * have been killed, what it sent last is not known: then the pushes are null.
+     * Returns the state that the previous process left; null if there is none, or if it is too old or was learned under other
+     * settings. If that process may have been killed, its last sends are not known, and {@code recentSends} is null.
      *
-     * @param now Unix time in milliseconds
+     * @param nowMillis Unix time in milliseconds
      */
-    public LearnedState read(long now) {
+    public LearnedState read(long nowMillis) {
         try {
             if (!Files.isRegularFile(file) || Files.size(file) > MAX_FILE_BYTES) {
                 return null;
             }
             String[] lines = Files.readString(file).split("\n");
-            JsonObject head = JsonParser.parseString(lines[0]).getAsJsonObject();
-            long age = now - head.get("at").getAsLong();
-            if (lines.length < 2 || !head.get("of").getAsString().equals(settingsFingerprint) || age < 0 || age > MAX_AGE_MILLIS) {
+            JsonObject header = JsonParser.parseString(lines[0]).getAsJsonObject();
+            long ageMillis = nowMillis - header.get("at").getAsLong();
+            if (lines.length < 2 || !header.get("of").getAsString().equals(settingsFingerprint) || ageMillis < 0
+                    || ageMillis > MAX_AGE_MILLIS) {
                 return null;
             }
-            LearnedState left = LearnedStateCodec.decode(lines[1], settingsFingerprint);
-            return head.get("ended").getAsBoolean() ? left : new LearnedState(left.statistics(), null);
+            LearnedState state = LearnedStateCodec.decode(lines[1], settingsFingerprint);
+            return header.get("ended").getAsBoolean() ? state : new LearnedState(state.statistics(), null);
         } catch (IOException | RuntimeException e) {
-            // Guards against a start that fails for it: nothing is learnt from a file that can't be read.
-            Logger.warn("what the process before has learnt can't be read: {}", e.toString());
+            // Not fatal: the process starts without a learned state.
+            Logger.warn("Failed to read the learned state of the previous process: {}", e.toString());
             return null;
         }
     }
 
     /**
-     * Keeps what was learnt.
+     * Writes the state.
      *
-     * @param now   Unix time in milliseconds
-     * @param ended whether this process sends nothing any more
-     * @throws IOException where it can't be kept; the file before stays
+     * @param ended     whether this process sends no more requests
+     * @param nowMillis Unix time in milliseconds
+     * @throws IOException if it can't be written; the previous file is kept
      */
-    public void write(LearnedState left, boolean ended, long now) throws IOException {
-        JsonObject head = new JsonObject();
-        head.addProperty("of", settingsFingerprint);
-        head.addProperty("at", now);
-        head.addProperty("ended", ended);
+    public void write(LearnedState state, boolean ended, long nowMillis) throws IOException {
+        JsonObject header = new JsonObject();
+        header.addProperty("of", settingsFingerprint);
+        header.addProperty("at", nowMillis);
+        header.addProperty("ended", ended);
         Files.createDirectories(file.getParent());
-        Path next = file.resolveSibling("learnt.new");
-        Files.write(next, (head + "\n" + LearnedStateCodec.encode(left, settingsFingerprint) + "\n").getBytes(StandardCharsets.UTF_8));
-        Files.move(next, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        Path newFile = file.resolveSibling("learnt.new");
+        Files.write(newFile,
+            (header + "\n" + LearnedStateCodec.encode(state, settingsFingerprint) + "\n").getBytes(StandardCharsets.UTF_8));
+        Files.move(newFile, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     }
 }
--- a/src/main/java/badgermux/upgrade/package-info.java
+++ b/src/main/java/badgermux/upgrade/package-info.java
@@ -1,2 +1,2 @@
-/** How one process of a dispatcher hands over to the next: what they tell each other, and when the next one is ready. */
+/** The handover from one process of a dispatcher to the next: the link, the state exchanged, and when the new one is ready. */
 package badgermux.upgrade;
--- a/src/test/java/badgermux/DescriptorBudgetTest.java
+++ b/src/test/java/badgermux/DescriptorBudgetTest.java
@@ -12,7 +12,8 @@
     private static final int BASELINE_DESCRIPTORS = 20;
 
     /** Starts at half of the smallest limit, because each of two linked processes gets half. */
-    @Property void sharesFitWithinTheLimit(@ForAll @IntRange(min = 64, max = 1024) int maxDescriptors, @ForAll boolean hasConsole) {
+    @Property
+    void sharesFitWithinTheLimit(@ForAll @IntRange(min = 64, max = 1024) int maxDescriptors, @ForAll boolean hasConsole) {
         DescriptorBudget budget = DescriptorBudget.of(maxDescriptors, hasConsole);
         assertTrue(budget.clientConnections() + budget.excessClientConnections() + budget.backendConnections()
             + budget.consoleConnections() + BASELINE_DESCRIPTORS <= maxDescriptors, budget.toString());
--- a/src/test/java/badgermux/KnownRedTest.java
+++ b/src/test/java/badgermux/KnownRedTest.java
@@ -54,9 +54,10 @@
     }
 
     @Test void rejectsMalformedAndUnknownEntries() throws IOException, InterruptedException {
-        for (String line : new String[] {"badgermux.SomeTest#three, a cause, issue 1", "badgermux.SomeTest#helper, a cause, issue 1",
-                "badgermux.NoTest#one, a cause, issue 1", "badgermux.SomeTest, a cause, issue 1", "badgermux.SomeTest#one, issue 1",
-                "badgermux.SomeTest#one, a cause", "badgermux.*#one, a cause, issue 1", "../SomeTest#one, a cause, issue 1"}) {
+        for (String line : new String[] {"badgermux.SomeTest#three, a cause, issue 1",
+                "badgermux.SomeTest#helper, a cause, issue 1", "badgermux.NoTest#one, a cause, issue 1",
+                "badgermux.SomeTest, a cause, issue 1", "badgermux.SomeTest#one, issue 1", "badgermux.SomeTest#one, a cause",
+                "badgermux.*#one, a cause, issue 1", "../SomeTest#one, a cause, issue 1"}) {
             assertNotEquals("", runScript(1, line), line);
         }
     }
--- a/src/test/java/badgermux/upgrade/HandoverReadinessTest.java
+++ b/src/test/java/badgermux/upgrade/HandoverReadinessTest.java
@@ -23,11 +23,12 @@
         assertNull(readiness.blockedReason(START_MICROS));
         readiness.previousConnected(START_MICROS);
         readiness.previousReportsOpen(0);
-        assertNotNull(readiness.blockedReason(START_MICROS + 10), "told before it has handed over: jobs may still come to it");
+        assertNotNull(readiness.blockedReason(START_MICROS + 10),
+            "reported before the handover, so it may still accept requests");
         readiness.servingStarted();
         assertNotNull(readiness.blockedReason(START_MICROS + 10));
         readiness.previousReportsOpen(0);
-        assertNotNull(readiness.blockedReason(START_MICROS + 10), "told before it knew that this one serves");
+        assertNotNull(readiness.blockedReason(START_MICROS + 10), "reported before it knew that this process serves");
         readiness.previousHandedOver();
         readiness.previousReportsOpen(2);
         assertNotNull(readiness.blockedReason(START_MICROS + 20));
@@ -38,7 +39,8 @@
     @Test void waitForThePreviousProcessIsBounded() {
         HandoverReadiness readiness = new HandoverReadiness();
         readiness.previousConnected(START_MICROS);
-        assertNotNull(readiness.blockedReason(START_MICROS + HandoverReadiness.MAX_WAIT_MICROS), "who does not serve is not ready");
+        assertNotNull(readiness.blockedReason(START_MICROS + HandoverReadiness.MAX_WAIT_MICROS),
+            "a process that does not serve is not ready");
         readiness.servingStarted();
         readiness.previousReportsOpen(5);
         assertNotNull(readiness.blockedReason(START_MICROS + HandoverReadiness.MAX_WAIT_MICROS - 1));
@@ -55,23 +57,25 @@
     }
 
     @Test void learnedStateSurvivesEncoding() {
-        LearnedState left = new LearnedState(new double[] {1.5, 0, Double.NaN, -2e9}, List.of(new SentWork(-7, 1L << 60, 0.25)));
-        LearnedState came = LearnedStateCodec.decode(LearnedStateCodec.encode(left, "f"), "f");
-        assertArrayEquals(new double[] {1.5, 0, 0, -2e9}, came.statistics());
-        assertEquals(left.recentSends(), came.recentSends());
-        assertThrows(JsonParseException.class, () -> LearnedStateCodec.decode(LearnedStateCodec.encode(left, "f"), "g"), "other settings");
+        LearnedState state = new LearnedState(new double[] {1.5, 0, Double.NaN, -2e9}, List.of(new SentWork(-7, 1L << 60, 0.25)));
+        LearnedState decoded = LearnedStateCodec.decode(LearnedStateCodec.encode(state, "f"), "f");
+        assertArrayEquals(new double[] {1.5, 0, 0, -2e9}, decoded.statistics());
+        assertEquals(state.recentSends(), decoded.recentSends());
+        assertThrows(JsonParseException.class, () -> LearnedStateCodec.decode(LearnedStateCodec.encode(state, "f"), "g"),
+            "other settings");
     }
 
     @Test void handoverStateSurvivesEncoding() {
-        HandoverState held = new HandoverState("{\"revision\":7}", Map.of("s-1", 5L), Map.of("s-2", new long[] {1, 2}));
-        HandoverState came = HandoverState.decode(held.encode());
-        assertEquals(held.backendList(), came.backendList());
-        assertEquals(held.cordoned(), came.cordoned());
-        assertArrayEquals(new long[] {1, 2}, came.returned().get("s-2"));
+        HandoverState state = new HandoverState("{\"revision\":7}", Map.of("s-1", 5L), Map.of("s-2", new long[] {1, 2}));
+        HandoverState decoded = HandoverState.decode(state.encode());
+        assertEquals(state.backendList(), decoded.backendList());
+        assertEquals(state.cordoned(), decoded.cordoned());
+        assertArrayEquals(new long[] {1, 2}, decoded.returned().get("s-2"));
         assertThrows(JsonParseException.class, () -> HandoverState.decode("{\"list\":{},\"out\":{},\"back\":{\"s\":[1]}}"));
     }
 
-    @ParameterizedTest @ValueSource(strings = {"", "[]", "{}", "{\"learnt\":[1],\"pushes\":[[1]]}", "{\"learnt\":[\"x\"],\"pushes\":[]}"})
+    @ParameterizedTest
+    @ValueSource(strings = {"", "[]", "{}", "{\"learnt\":[1],\"pushes\":[[1]]}", "{\"learnt\":[\"x\"],\"pushes\":[]}"})
     void rejectsMalformedLearnedState(String line) {
         assertThrows(JsonParseException.class, () -> LearnedStateCodec.decode(line, "f"));
     }
--- a/src/test/java/badgermux/upgrade/LearnedStateFileTest.java
+++ b/src/test/java/badgermux/upgrade/LearnedStateFileTest.java
@@ -21,7 +21,7 @@
 
     @Test void readsWrittenStateAndDropsSentWorkUnlessEnded() throws IOException {
         LearnedStateFile file = new LearnedStateFile(folder.resolve("n"), "[a] on [k]");
-        assertNull(file.read(NOW_MILLIS), "there is none yet");
+        assertNull(file.read(NOW_MILLIS), "no file yet");
         file.write(STATE, false, NOW_MILLIS);
         assertArrayEquals(STATE.statistics(), file.read(NOW_MILLIS + 1).statistics());
         assertNull(file.read(NOW_MILLIS + 1).recentSends());
@@ -33,16 +33,16 @@
         LearnedStateFile file = new LearnedStateFile(folder.resolve("n"), "[a] on [k]");
         file.write(STATE, true, NOW_MILLIS);
         assertNull(file.read(NOW_MILLIS + LearnedStateFile.MAX_AGE_MILLIS + 1));
-        assertNull(file.read(NOW_MILLIS - 1), "from the future");
+        assertNull(file.read(NOW_MILLIS - 1), "written in the future");
         assertNull(new LearnedStateFile(folder.resolve("n"), "[b] on [k]").read(NOW_MILLIS));
-        Path kept = folder.resolve("n").resolve("learnt");
-        String whole = Files.readString(kept);
-        for (int length = 0; length < whole.length() - 2; length += 3) {
-            Files.writeString(kept, whole.substring(0, length));
-            assertNull(file.read(NOW_MILLIS), "cut at " + length);
+        Path path = folder.resolve("n").resolve("learnt");
+        String complete = Files.readString(path);
+        for (int length = 0; length < complete.length() - 2; length += 3) {
+            Files.writeString(path, complete.substring(0, length));
+            assertNull(file.read(NOW_MILLIS), "truncated to " + length);
         }
-        for (String text : new String[] {"\n\n", "{}\n{}", "[]\n[]", whole.replace("[2.5", "[\"x\""), "\0\1\n"}) {
-            Files.writeString(kept, text);
+        for (String text : new String[] {"\n\n", "{}\n{}", "[]\n[]", complete.replace("[2.5", "[\"x\""), "\0\1\n"}) {
+            Files.writeString(path, text);
             assertNull(file.read(NOW_MILLIS), text);
         }
     }
