--- a/src/main/java/badgermux/config/Config.java
+++ b/src/main/java/badgermux/config/Config.java
@@ -20,41 +20,44 @@
 import java.util.TreeMap;
 
 /**
- * All that a dispatcher is told at its start, checked and with defaults.
+ * The configuration of a dispatcher, validated and with defaults applied.
  *
- * @param name            its name
- * @param listenAddress          where clients connect
- * @param discoveryAddress       where discovery answers
- * @param adminAddress           where operators call; null where they can't
- * @param inheritsSocket        whether clients connect to a listening socket that is held for us, descriptor 0
- * @param seed            for random numbers
- * @param maxDescriptors         how many descriptors the process may hold
- * @param memoryMb        how much memory the process may take, in MB
- * @param cachedList           the list as last held
- * @param settings        the module's settings
- * @param zoneNames           the names of the zones, in the module's order
- * @param kindNames           the names of the kinds of backends, in the module's order
- * @param connectTimeoutMicros  how long a connection may take to come up, in microseconds
- * @param settingsFingerprint     of all settings: what was learnt under others is not ours
+ * @param name                 the dispatcher's name
+ * @param listenAddress        the address for clients
+ * @param discoveryAddress     the address of the discovery service
+ * @param adminAddress         the address of the operators' console; null where it is off
+ * @param inheritsSocket       whether the listening socket for clients is inherited as descriptor 0
+ * @param seed                 the seed of random numbers
+ * @param maxDescriptors       how many file descriptors the process may use
+ * @param memoryMb             how much memory the process may use, in MB
+ * @param cachedList           the backend list as last known
+ * @param settings             the settings of the decision module
+ * @param zoneNames            the names of the zones, by the decision module's index
+ * @param kindNames            the names of the kinds of backends, by the decision module's index
+ * @param connectTimeoutMicros how long a connection to a backend may take to be established
+ * @param settingsFingerprint  hash of all settings; state learned under another fingerprint is not used
  */
-public record Config(String name, InetSocketAddress listenAddress, InetSocketAddress discoveryAddress, InetSocketAddress adminAddress,
-        boolean inheritsSocket, long seed, int maxDescriptors, int memoryMb, BackendListCodec.BackendList cachedList, DispatchPolicy.Settings settings,
-        List<String> zoneNames, List<String> kindNames, long connectTimeoutMicros, String settingsFingerprint) {
-    private static final int DEFAULT_MAX_DESCRIPTORS = 1024, MIN_MAX_DESCRIPTORS = 128;
-    private static final int DEFAULT_MEMORY_MB = 192, MIN_MEMORY_MB = 32;
+public record Config(String name, InetSocketAddress listenAddress, InetSocketAddress discoveryAddress,
+        InetSocketAddress adminAddress, boolean inheritsSocket, long seed, int maxDescriptors, int memoryMb,
+        BackendListCodec.BackendList cachedList, DispatchPolicy.Settings settings, List<String> zoneNames,
+        List<String> kindNames, long connectTimeoutMicros, String settingsFingerprint) {
+    private static final int DEFAULT_MAX_DESCRIPTORS = 1024;
+    private static final int MIN_MAX_DESCRIPTORS = 128;
+    private static final int DEFAULT_MEMORY_MB = 192;
+    private static final int MIN_MEMORY_MB = 32;
     private static final double DEFAULT_CONNECT_TIMEOUT_MS = 250;
 
-    /** Reads the environment, and the file that it names; the environment goes first. */
+    /** Reads the environment and the file that GW_CONFIG names; environment variables override the file. */
     public static Config read(Map<String, String> environment) throws ConfigException {
         return read(environment, false);
     }
 
-    /** Reads all again once the file has been replaced: where it names a discovery service, that one goes first. */
+    /** Reads a replaced file: unlike at startup, a discovery address in the file overrides GW_DISCOVERY. */
     public static Config reload(Map<String, String> environment) throws ConfigException {
         return read(environment, true);
     }
 
-    private static Config read(Map<String, String> environment, boolean again) throws ConfigException {
+    private static Config read(Map<String, String> environment, boolean reloading) throws ConfigException {
         String path = environment.get("GW_CONFIG");
         if (path == null || path.isBlank()) {
             throw new ConfigException("GW_CONFIG is not set");
@@ -69,41 +72,46 @@
         try {
             root = JsonParser.parseString(text).getAsJsonObject();
         } catch (JsonParseException | IllegalStateException e) {
-            throw new ConfigException("GW_CONFIG: " + path + " is no JSON object");
+            throw new ConfigException("GW_CONFIG: " + path + " is not a JSON object");
         }
         Map<String, String> variables = new TreeMap<>(environment);
-        if (again && root.has("discovery")) {
+        if (reloading && root.has("discovery")) {
             variables.remove("GW_DISCOVERY");
         }
         return new Reader(variables, root).read();
     }
 
-    /** Reads the file's object; what the environment says goes before it. */
+    /** Reads the configuration from the file's JSON object; environment variables override it. */
     private record Reader(Map<String, String> environment, JsonObject root) {
         Config read() throws ConfigException {
             if (!root.has("settings") || !root.get("settings").isJsonObject()) {
-                throw new ConfigException("settings is missing or no object");
+                throw new ConfigException("settings is missing or not an object");
             }
             Map<String, String> pairs = new TreeMap<>();
             flatten("", root.get("settings"), pairs);
             DispatchPolicy.Settings settings = settings(pairs);
-            requireDistinct("settings.RequestClasses", settings.classes.stream().map(DispatchPolicy.RequestClass::name).toList());
-            double connect = number(pairs.get("Ceilings.ConnectTimeoutMs"), "settings.Ceilings.ConnectTimeoutMs",
+            requireDistinct("settings.RequestClasses",
+                settings.classes.stream().map(DispatchPolicy.RequestClass::name).toList());
+            double connectTimeoutMs = number(pairs.get("Ceilings.ConnectTimeoutMs"), "settings.Ceilings.ConnectTimeoutMs",
                 DEFAULT_CONNECT_TIMEOUT_MS);
-            if (connect <= 0) {
+            if (connectTimeoutMs <= 0) {
                 throw new ConfigException("settings.Ceilings.ConnectTimeoutMs must be above 0");
             }
             return new Config(text("GW_NAME", "name", "dispatcher"), endpoint("GW_LISTEN", "listen"),
-                endpoint("GW_DISCOVERY", "discovery"), adminAddress(), inheritsSocket(), seed(), maxDescriptors(), memoryMb(), cachedList(), settings,
-                distinctNames(pairs, "FailureDomains"), distinctNames(pairs, "Kinds"), Math.round(connect * 1000),
-                Names.fingerprint(pairs.toString()));
+                endpoint("GW_DISCOVERY", "discovery"), adminAddress(), inheritsSocket(), seed(), maxDescriptors(), memoryMb(),
+                cachedList(), settings, distinctNames(pairs, "FailureDomains"), distinctNames(pairs, "Kinds"),
+                Math.round(connectTimeoutMs * 1000), Names.fingerprint(pairs.toString()));
         }
 
-        /** The settings object in the simulator's form: path=value pairs, plain lists joined, object lists counted. */
+        /**
+         * Flattens the settings object to the simulator's format: pairs of a path and a value. A list of plain values becomes
+         * one value joined by commas; a list of objects gets a {@code .count} and an index in the paths.
+         */
         private static void flatten(String path, JsonElement value, Map<String, String> pairs) {
             if (value.isJsonObject()) {
                 value.getAsJsonObject().entrySet()
-                    .forEach(e -> flatten(path.isEmpty() ? e.getKey() : path + '.' + e.getKey(), e.getValue(), pairs));
+                    .forEach(entry -> flatten(path.isEmpty() ? entry.getKey() : path + '.' + entry.getKey(),
+                        entry.getValue(), pairs));
             } else if (value.isJsonArray()) {
                 JsonArray items = value.getAsJsonArray();
                 if (items.isEmpty() || items.get(0).isJsonObject()) {
@@ -136,24 +144,24 @@
             return requireDistinct("settings." + key, Arrays.asList(pairs.getOrDefault(key, "").split(",")));
         }
 
-        /** Guards against names that can't be told apart, as blanks and commas are read as underscores. */
+        /** Rejects equal names. Blanks and commas were replaced by underscores, so different names may have become equal. */
         private static List<String> requireDistinct(String key, List<String> names) throws ConfigException {
             if (Names.firstDuplicate(names) != null) {
-                throw new ConfigException(key + " has a name twice: " + Names.firstDuplicate(names));
+                throw new ConfigException(key + " contains a duplicate name: " + Names.firstDuplicate(names));
             }
             return names;
         }
 
-        private String text(String variable, String key, String otherwise) throws ConfigException {
+        private String text(String variable, String key, String defaultValue) throws ConfigException {
             String value = environment.get(variable);
             if (value != null && !value.isBlank()) {
                 return value;
             }
             if (!root.has(key)) {
-                return otherwise;
+                return defaultValue;
             }
             if (!root.get(key).isJsonPrimitive()) {
-                throw new ConfigException(key + " is no text");
+                throw new ConfigException(key + " is not a string");
             }
             return root.get(key).getAsString();
         }
@@ -163,7 +171,7 @@
             InetSocketAddress address = value == null ? null : Address.parse(value);
             if (address == null) {
                 throw new ConfigException(variable + " (" + key + ") "
-                    + (value == null ? "is missing" : "is no host:port: " + value));
+                    + (value == null ? "is missing" : "is not HOST:PORT: " + value));
             }
             return address;
         }
@@ -174,7 +182,7 @@
 
         private boolean inheritsSocket() throws ConfigException {
             String number = environment.getOrDefault("GW_SOCKET_FD", "");
-            // Java can take over the descriptor of its standard input and no other.
+            // System.inheritedChannel supports the descriptor of standard input only.
             if (!number.isEmpty() && !number.equals("0")) {
                 throw new ConfigException("GW_SOCKET_FD must be 0, the only descriptor that can be inherited: " + number);
             }
@@ -186,7 +194,7 @@
             try {
                 return value == null ? System.nanoTime() : Long.parseUnsignedLong(value, 16);
             } catch (NumberFormatException e) {
-                throw new ConfigException("seed is no hexadecimal number: " + value);
+                throw new ConfigException("seed is not a hexadecimal number: " + value);
             }
         }
 
@@ -198,35 +206,35 @@
             return limit("memory_mb", DEFAULT_MEMORY_MB, MIN_MEMORY_MB);
         }
 
-        /** A limit, which is never taken for more than its default. */
-        private int limit(String key, int otherwise, int least) throws ConfigException {
+        /** Reads a limit; a value above the default is reduced to the default. */
+        private int limit(String key, int defaultValue, int minimum) throws ConfigException {
             JsonElement limits = root.get("limits");
             JsonElement value = limits != null && limits.isJsonObject() ? limits.getAsJsonObject().get(key) : null;
-            double told = number(value == null ? null : plainText(value), "limits." + key, otherwise);
-            if (told < least) {
-                throw new ConfigException("limits." + key + " must be " + least + " or more");
+            double limit = number(value == null ? null : plainText(value), "limits." + key, defaultValue);
+            if (limit < minimum) {
+                throw new ConfigException("limits." + key + " must be " + minimum + " or more");
             }
-            return (int) Math.min(told, otherwise);
+            return (int) Math.min(limit, defaultValue);
         }
 
         private BackendListCodec.BackendList cachedList() throws ConfigException {
             try {
                 return BackendListCodec.decode(root.has("known") ? root.get("known").toString() : "{}");
             } catch (JsonParseException e) {
-                throw new ConfigException("known is no list: " + e.getMessage().lines().findFirst().orElse(""));
+                throw new ConfigException("known is not a backend list: " + e.getMessage().lines().findFirst().orElse(""));
             }
         }
 
-        private static double number(String value, String key, double otherwise) throws ConfigException {
+        private static double number(String value, String key, double defaultValue) throws ConfigException {
             try {
-                double number = value == null ? otherwise : Double.parseDouble(value);
+                double number = value == null ? defaultValue : Double.parseDouble(value);
                 if (Double.isFinite(number)) {
                     return number;
                 }
             } catch (NumberFormatException e) {
-                // told below, as for a number that is not finite
+                // reported below, as a number that is not finite
             }
-            throw new ConfigException(key + " is no number: " + value);
+            throw new ConfigException(key + " is not a number: " + value);
         }
     }
 }
--- a/src/main/java/badgermux/config/SettingsParser.java
+++ b/src/main/java/badgermux/config/SettingsParser.java
@@ -7,16 +7,17 @@
 import java.util.TreeSet;
 
 /**
- * The one mapping from settings to the module's: pairs of a path and a value, as the simulator's first message writes
- * them. Keys that it does not know are ignored; a message names the one at fault.
+ * Parses settings, given as pairs of a path and a value, into the decision module's form. Both the configuration file and the
+ * simulator's first message go through this class. Unknown keys are ignored. For an invalid value it throws an
+ * {@link IllegalArgumentException} whose message names the key.
  */
 public final class SettingsParser {
     private final Map<String, String> values;
 
-    /** The settings, and the order in which load reports give their values. */
+    /** The settings, and the names of the columns of load reports in their order. */
     public record ParsedSettings(DispatchPolicy.Settings settings, String[] reportColumns) { }
 
-    /** The settings from lines of {@code path=value}. */
+    /** Parses lines of {@code path=value}. */
     public static ParsedSettings parse(String text) {
         Map<String, String> values = new HashMap<>();
         for (String line : text.split("\n")) {
@@ -30,7 +31,7 @@
         return parse(values);
     }
 
-    /** The settings from pairs that were split before. */
+    /** Parses pairs of a path and a value. */
     public static ParsedSettings parse(Map<String, String> values) {
         return new SettingsParser(values).build();
     }
@@ -40,66 +41,67 @@
     }
 
     private ParsedSettings build() {
-        DispatchPolicy.Settings s = new DispatchPolicy.Settings();
-        s.dispatcherCount = count("Balancers", 1);
-        s.dispatcherIndex = count("Me", 0);
-        s.ownZone = count("Zone", 0);
-        s.timerGranularityMicros = micros("GranularityMs", 1);
-        s.kindCount = Math.max(1, list("Kinds").length);
-        s.listPushed = choice("Discovery", "pushed", Map.of("pushed", true, "on_request", false));
-        s.reportMode = choice("Report.How", "silent", Map.of("piggyback", DispatchPolicy.ReportMode.IN_RESPONSES,
+        DispatchPolicy.Settings settings = new DispatchPolicy.Settings();
+        settings.dispatcherCount = count("Balancers", 1);
+        settings.dispatcherIndex = count("Me", 0);
+        settings.ownZone = count("Zone", 0);
+        settings.timerGranularityMicros = micros("GranularityMs", 1);
+        settings.kindCount = Math.max(1, list("Kinds").length);
+        settings.listPushed = choice("Discovery", "pushed", Map.of("pushed", true, "on_request", false));
+        settings.reportMode = choice("Report.How", "silent", Map.of("piggyback", DispatchPolicy.ReportMode.IN_RESPONSES,
             "pull", DispatchPolicy.ReportMode.ON_PROBE, "silent", DispatchPolicy.ReportMode.NEVER));
-        s.mayProbe = flag("Ceilings.Probes");
-        s.idleTimeoutMicros = micros("Ceilings.ConnIdleMs", 0);
-        s.connectTimeoutMicros = micros("Ceilings.ConnectTimeoutMs", 0);
-        s.connectCost = number("Penalties.Handshake", 0);
-        s.mayCancel = flag("Ceilings.Cancel");
-        s.mayHedge = flag("Ceilings.ParallelTries");
-        s.maxAttempts = count("Ceilings.MaxAttempts", 1);
-        s.worthByWork = choice("WorthBy", "request", Map.of("request", false, "work", true));
-        s.overQuotaWorthShare = number("OverShareWorth", 1);
-        s.rejectedMayHaveRun = flag("Safety.FullMayHaveRun");
-        s.maxRetryAfterMicros = flag("Ceilings.RetryAfter") ? micros("Ceilings.MaxRetryAfterMs", 0) : 0;
-        s.backendsReportStart = flag("Extra.TellsStart");
-        s.progressIntervalMicros = micros("Extra.ProgressMs", 0);
-        s.maxWatchIntervalMicros = micros("Safety.AskEveryMs", 10_000);
-        s.coldCapacityShare = number("Safety.ColdShare", 1);
-        s.warmUpMicros = micros("Safety.ColdMs", 0);
-        s.overloadMultiple = number("Safety.FallMultiple", 1);
-        s.overloadWindowMicros = micros("Safety.FallMs", 0);
+        settings.mayProbe = flag("Ceilings.Probes");
+        settings.idleTimeoutMicros = micros("Ceilings.ConnIdleMs", 0);
+        settings.connectTimeoutMicros = micros("Ceilings.ConnectTimeoutMs", 0);
+        settings.connectCost = number("Penalties.Handshake", 0);
+        settings.mayCancel = flag("Ceilings.Cancel");
+        settings.mayHedge = flag("Ceilings.ParallelTries");
+        settings.maxAttempts = count("Ceilings.MaxAttempts", 1);
+        settings.worthByWork = choice("WorthBy", "request", Map.of("request", false, "work", true));
+        settings.overQuotaWorthShare = number("OverShareWorth", 1);
+        settings.rejectedMayHaveRun = flag("Safety.FullMayHaveRun");
+        settings.maxRetryAfterMicros = flag("Ceilings.RetryAfter") ? micros("Ceilings.MaxRetryAfterMs", 0) : 0;
+        settings.backendsReportStart = flag("Extra.TellsStart");
+        settings.progressIntervalMicros = micros("Extra.ProgressMs", 0);
+        settings.maxWatchIntervalMicros = micros("Safety.AskEveryMs", 10_000);
+        settings.coldCapacityShare = number("Safety.ColdShare", 1);
+        settings.warmUpMicros = micros("Safety.ColdMs", 0);
+        settings.overloadMultiple = number("Safety.FallMultiple", 1);
+        settings.overloadWindowMicros = micros("Safety.FallMs", 0);
         for (int i = 0; i < count("RequestClasses.count", null); i++) {
-            s.classes.add(requestClass("RequestClasses." + i + ".", i, s.kindCount));
+            settings.classes.add(requestClass("RequestClasses." + i + ".", i, settings.kindCount));
         }
         for (int i = 0; i < count("Customers.count", 0); i++) {
-            String at = "Customers." + i + ".";
-            s.tenants.add(new DispatchPolicy.Tenant(values.getOrDefault(at + "Name", "tenant " + i),
-                number(at + "QuotaPerS", 0)));
+            String prefix = "Customers." + i + ".";
+            settings.tenants.add(new DispatchPolicy.Tenant(values.getOrDefault(prefix + "Name", "tenant " + i),
+                number(prefix + "QuotaPerS", 0)));
         }
-        return new ParsedSettings(s, list("Report.Columns"));
+        return new ParsedSettings(settings, list("Report.Columns"));
     }
 
-    private DispatchPolicy.RequestClass requestClass(String at, int i, int kinds) {
-        String[] classKinds = list("Extra.ClassKind"), stretches = list("Extra.ClassStretch");
-        double stretch = i < stretches.length ? toNumber("Extra.ClassStretch", stretches[i]) : 0;
-        int kind = i < classKinds.length ? (int) toNumber("Extra.ClassKind", classKinds[i]) : -1;
-        if (kind >= kinds) {
-            throw new IllegalArgumentException("setting Extra.ClassKind names kind " + kind + " of " + kinds);
+    private DispatchPolicy.RequestClass requestClass(String prefix, int index, int kindCount) {
+        String[] classKinds = list("Extra.ClassKind");
+        String[] classStretches = list("Extra.ClassStretch");
+        double stretch = index < classStretches.length ? toNumber("Extra.ClassStretch", classStretches[index]) : 0;
+        int kind = index < classKinds.length ? (int) toNumber("Extra.ClassKind", classKinds[index]) : -1;
+        if (kind >= kindCount) {
+            throw new IllegalArgumentException("setting Extra.ClassKind names kind " + kind + " of " + kindCount);
         }
-        Set<Integer> bound = indices(at + "BoundTo", kinds);
+        Set<Integer> allowedKinds = indices(prefix + "BoundTo", kindCount);
         if (kind >= 0) {
-            bound = bound == null || bound.contains(kind) ? Set.of(kind) : Set.of();
+            allowedKinds = allowedKinds == null || allowedKinds.contains(kind) ? Set.of(kind) : Set.of();
         }
-        return new DispatchPolicy.RequestClass(values.getOrDefault(at + "Name", "class " + i),
-            choice(at + "Effect", null, Map.of("repeatable", DispatchPolicy.Effect.REPEATABLE,
+        return new DispatchPolicy.RequestClass(values.getOrDefault(prefix + "Name", "class " + index),
+            choice(prefix + "Effect", null, Map.of("repeatable", DispatchPolicy.Effect.REPEATABLE,
                 "by_key", DispatchPolicy.Effect.BY_KEY, "once", DispatchPolicy.Effect.ONCE)),
-            choice(at + "Group", "all", Map.of("all", DispatchPolicy.DedupScope.ALL, "zone", DispatchPolicy.DedupScope.ZONE,
+            choice(prefix + "Group", "all", Map.of("all", DispatchPolicy.DedupScope.ALL, "zone", DispatchPolicy.DedupScope.ZONE,
                 "cell", DispatchPolicy.DedupScope.CELL)),
-            micros(at + "TargetMs", null), number(at + "AimStretch", stretch), micros(at + "GiveUpMs", null),
-            micros(at + "DedupWindowMs", 0), number(at + "Gain", 1), number(at + "LateShare", 0),
-            bound, indices(at + "AllowedIn", Integer.MAX_VALUE), flag(at + "Stream"));
+            micros(prefix + "TargetMs", null), number(prefix + "AimStretch", stretch), micros(prefix + "GiveUpMs", null),
+            micros(prefix + "DedupWindowMs", 0), number(prefix + "Gain", 1), number(prefix + "LateShare", 0),
+            allowedKinds, indices(prefix + "AllowedIn", Integer.MAX_VALUE), flag(prefix + "Stream"));
     }
 
-    /** A list of places in another list, each below {@code size}; null where the key is absent. */
+    /** Returns a list of indices, each below {@code size}; null where the key is absent. */
     private Set<Integer> indices(String key, int size) {
         if (!values.containsKey(key)) {
             return null;
@@ -115,7 +117,7 @@
         return indices;
     }
 
-    /** A list's items; none where the key is absent or empty. */
+    /** Returns the items of a comma-separated list; none where the key is absent or empty. */
     private String[] list(String key) {
         String value = values.getOrDefault(key, "");
         return value.isEmpty() ? new String[0] : value.split(",");
@@ -125,25 +127,26 @@
         return choice(key, "false", Map.of("true", true, "false", false));
     }
 
-    private int count(String key, Integer otherwise) {
-        double value = number(key, otherwise == null ? null : otherwise.doubleValue());
+    private int count(String key, Integer defaultValue) {
+        double value = number(key, defaultValue == null ? null : defaultValue.doubleValue());
         if (value < 0 || value > 1_000_000 || value != Math.rint(value)) {
-            throw new IllegalArgumentException("setting " + key + " is no count: " + values.get(key));
+            throw new IllegalArgumentException("setting " + key + " is not a count: " + values.get(key));
         }
         return (int) value;
     }
 
-    private long micros(String key, Integer otherwiseMs) {
-        return Math.round(number(key, otherwiseMs == null ? null : otherwiseMs.doubleValue()) * 1000);
+    /** Returns a time span in microseconds; the setting and its default are in milliseconds. */
+    private long micros(String key, Integer defaultMs) {
+        return Math.round(number(key, defaultMs == null ? null : defaultMs.doubleValue()) * 1000);
     }
 
-    /** A number; a missing one is {@code otherwise}, or ends the program where there is no otherwise. */
-    private double number(String key, Number otherwise) {
+    /** Returns a number; the setting is required where {@code defaultValue} is null. */
+    private double number(String key, Number defaultValue) {
         String value = values.get(key);
-        if (value == null && otherwise == null) {
+        if (value == null && defaultValue == null) {
             throw new IllegalArgumentException("setting " + key + " is missing");
         }
-        return value == null ? otherwise.doubleValue() : toNumber(key, value);
+        return value == null ? defaultValue.doubleValue() : toNumber(key, value);
     }
 
     private static double toNumber(String key, String value) {
@@ -153,17 +156,19 @@
                 return number;
             }
         } catch (NumberFormatException e) {
-            // told below, as for a number that is not finite
+            // reported below, as a number that is not finite
         }
-        throw new IllegalArgumentException("setting " + key + " is no number: " + value);
+        throw new IllegalArgumentException("setting " + key + " is not a number: " + value);
     }
 
-    private <T> T choice(String key, String otherwise, Map<String, T> choices) {
-        String value = values.getOrDefault(key, otherwise);
-        T chosen = value == null ? null : choices.get(value);
-        if (chosen == null) {
-            throw new IllegalArgumentException("setting " + key + (value == null ? " is missing" : " is unknown: " + value));
+    /** Returns the choice that the value names; the setting is required where {@code defaultValue} is null. */
+    private <T> T choice(String key, String defaultValue, Map<String, T> choices) {
+        String value = values.getOrDefault(key, defaultValue);
+        T choice = value == null ? null : choices.get(value);
+        if (choice == null) {
+            throw new IllegalArgumentException("setting " + key
+                + (value == null ? " is missing" : " has an unknown value: " + value));
         }
-        return chosen;
+        return choice;
     }
 }
--- a/src/main/java/badgermux/config/package-info.java
+++ b/src/main/java/badgermux/config/package-info.java
@@ -1,2 +1,2 @@
-/** What a dispatcher is told at its start: read, checked and given defaults in one place. */
+/** The configuration of a dispatcher: read and validated in one place, with defaults applied. */
 package badgermux.config;
--- a/src/main/java/badgermux/operator/CordonStore.java
+++ b/src/main/java/badgermux/operator/CordonStore.java
@@ -12,43 +12,49 @@
 import org.tinylog.Logger;
 
 /**
- * Keeps the runners that are cordoned beyond the process: a file for each, its name the id in hexadecimal, in one
- * folder for those that are out and one for those that came back, whose file says since when they had been out. To make or to remove a file is one step, so that a
- * crash leaves the set before or after a call, and two processes that overlap don't undo each other's calls. Used by one
- * thread, which may block.
+ * Stores operators' cordons on disk, so that they outlast the process. One folder has a file for each cordoned backend,
+ * another a file for each backend that has returned, which holds the time of its cordon. A file's name is the backend's id in
+ * hexadecimal. Creating or removing a file is atomic: a crash leaves the state before or after an update, and two processes
+ * that overlap don't undo each other's updates. Methods block and must be called by one thread.
  */
 public final class CordonStore {
-    private final Path cordoned;
-    private final Path returned;
+    private final Path cordonedFolder;
+    private final Path returnedFolder;
 
     private CordonStore(Path folder) {
-        cordoned = folder.resolve("out");
-        returned = folder.resolve("back");
+        cordonedFolder = folder.resolve("out");
+        returnedFolder = folder.resolve("back");
     }
 
     /**
-     * Opens it, or makes it.
+     * Opens the store and creates its folders if they don't exist.
      *
-     * @throws IOException where nothing can be kept there
+     * @throws IOException if a folder can't be created
      */
     public static CordonStore open(Path folder) throws IOException {
         CordonStore opened = new CordonStore(folder);
-        Files.createDirectories(opened.cordoned);
-        Files.createDirectories(opened.returned);
+        Files.createDirectories(opened.cordonedFolder);
+        Files.createDirectories(opened.returnedFolder);
         return opened;
     }
 
-    /** The runners that are out, and since when, as Unix time in milliseconds. A file whose name is no id is left alone. */
+    /**
+     * Returns the ids of the cordoned backends with the Unix time in milliseconds of the cordon. A file whose name is not an id
+     * in hexadecimal is ignored.
+     */
     public Map<String, Long> cordoned() throws IOException {
-        return readFolder(cordoned);
+        return readFolder(cordonedFolder);
     }
 
-    /** When runners were away, as Unix times in milliseconds; those back before {@code since} are forgotten. */
-    public Map<String, long[]> returned(long since) throws IOException {
+    /**
+     * Returns the ids of the backends that have returned, with the Unix times in milliseconds of their cordon and return.
+     * Removes those that returned before {@code sinceMillis}.
+     */
+    public Map<String, long[]> returned(long sinceMillis) throws IOException {
         Map<String, long[]> absences = new HashMap<>();
-        for (Map.Entry<String, Long> file : readFolder(returned).entrySet()) {
-            Path path = returned.resolve(fileName(file.getKey()));
-            if (file.getValue() < since) {
+        for (Map.Entry<String, Long> file : readFolder(returnedFolder).entrySet()) {
+            Path path = returnedFolder.resolve(fileName(file.getKey()));
+            if (file.getValue() < sinceMillis) {
                 Files.deleteIfExists(path);
             } else {
                 absences.put(file.getKey(), new long[] {readCordonedAt(path, file.getValue()), file.getValue()});
@@ -57,33 +63,34 @@
         return absences;
     }
 
-    /** When a runner that is back was taken out; where that can't be read, its return counts. */
-    private static long readCordonedAt(Path file, long otherwise) throws IOException {
+    /** Returns the time of a returned backend's cordon; where the file has none, the time of its return. */
+    private static long readCordonedAt(Path file, long returnedAt) throws IOException {
         try {
             return Long.parseLong(Files.readString(file).strip());
         } catch (NumberFormatException e) {
-            return otherwise;
+            return returnedAt;
         }
     }
 
-    /** Keeps that a runner is out. */
+    /** Stores that a backend is cordoned. Keeps the time of an earlier cordon. */
     public void cordon(String id) throws IOException {
-        Path file = cordoned.resolve(fileName(id));
+        Path file = cordonedFolder.resolve(fileName(id));
         if (!Files.exists(file)) {
             Files.write(file, new byte[0]);
         }
     }
 
-    /** Keeps that a runner has come back that was taken out at a time; a crash halfway leaves it out. */
-    public void uncordon(String id, long from) throws IOException {
-        Files.writeString(returned.resolve(fileName(id)), Long.toString(from));
-        Files.deleteIfExists(cordoned.resolve(fileName(id)));
+    /** Stores that a backend has returned. A crash between the two steps leaves it cordoned. */
+    public void uncordon(String id, long cordonedAtMillis) throws IOException {
+        Files.writeString(returnedFolder.resolve(fileName(id)), Long.toString(cordonedAtMillis));
+        Files.deleteIfExists(cordonedFolder.resolve(fileName(id)));
     }
 
     private static String fileName(String id) {
         return HexFormat.of().formatHex(id.getBytes(StandardCharsets.UTF_8));
     }
 
+    /** Returns the ids that the files are named after, with the files' modification times as Unix time in milliseconds. */
     private static Map<String, Long> readFolder(Path folder) throws IOException {
         Map<String, Long> ids = new HashMap<>();
         try (DirectoryStream<Path> files = Files.newDirectoryStream(folder)) {
@@ -93,9 +100,9 @@
                     ids.put(new String(HexFormat.of().parseHex(name), StandardCharsets.UTF_8),
                         Files.getLastModifiedTime(file).toMillis());
                 } catch (IllegalArgumentException e) {
-                    Logger.warn("{} is no runner taken out by hand: its name is no id in hexadecimal", file);
+                    Logger.warn("Ignored {}: its name is not a backend id in hexadecimal", file);
                 } catch (NoSuchFileException e) {
-                    // put back by the other process meanwhile
+                    // the other process of a hot restart has removed the file
                 }
             }
         }
--- a/src/main/java/badgermux/operator/Snapshot.java
+++ b/src/main/java/badgermux/operator/Snapshot.java
@@ -15,20 +15,25 @@
 import java.util.TreeSet;
 
 /**
- * All that operators have set, as one JSON text: a format's name and version, a revision that grows with each change, a
- * section for each subsystem, and a SHA-256 over the rest in its canonical form (members sorted, no blanks). A section
- * that this program does not know was written by a newer one, and the whole is refused then: half of a setting may mean
- * something else than the whole. Pure: no I/O.
+ * Everything that operators have set, as one JSON text: the name and version of the format, a revision that grows with each
+ * change, a section for each subsystem, and a SHA-256 checksum of the rest in canonical form (sorted members, no blanks). An
+ * unknown section was written by a newer program; the whole snapshot is rejected then, because part of the settings may have
+ * another meaning than all of them. Pure: no I/O.
  */
 public final class Snapshot {
-    /** The newest form that this program reads, and the one that it writes. */
+    /** The format version that this program writes, and the newest that it can read. */
     public static final int FORMAT_VERSION = 1;
     private static final String FORMAT = "badgermux-snapshot";
 
     private final long revision;
     private final Map<String, JsonElement> sections;
 
-    /** {@code revision} is 0 for nothing set yet. */
+    /**
+     * Creates a snapshot.
+     *
+     * @param revision the revision; 0 where nothing was set yet
+     * @param sections the sections by name
+     */
     public Snapshot(long revision, Map<String, JsonElement> sections) {
         this.revision = revision;
         this.sections = new TreeMap<>(sections);
@@ -38,12 +43,12 @@
         return revision;
     }
 
-    /** A subsystem's section; null where it has set nothing. */
+    /** Returns a subsystem's section; null where nothing is set in it. */
     public JsonElement section(String name) {
         return sections.get(name);
     }
 
-    /** The next revision, with one section replaced, or taken out where it is null. */
+    /** Returns the next revision, with one section replaced, or removed if {@code section} is null. */
     public Snapshot with(String name, JsonElement section) {
         Map<String, JsonElement> next = new TreeMap<>(sections);
         if (section == null) {
@@ -54,48 +59,53 @@
         return new Snapshot(revision + 1, next);
     }
 
-    /** The text; reading it brings the same snapshot. */
+    /** Returns the text that {@link #read} parses. */
     public String text() {
         JsonObject root = new JsonObject();
         root.addProperty("format", FORMAT);
         root.addProperty("version", FORMAT_VERSION);
         root.addProperty("revision", revision);
-        JsonObject all = new JsonObject();
-        sections.forEach(all::add);
-        root.add("sections", all);
+        JsonObject sectionsJson = new JsonObject();
+        sections.forEach(sectionsJson::add);
+        root.add("sections", sectionsJson);
         root.addProperty("checksum", checksum(root));
         return canonical(root).toString() + '\n';
     }
 
-    /** Reads a snapshot; {@code known} are the sections that this program has. */
-    public static Snapshot read(String text, Set<String> known) throws SnapshotException {
+    /**
+     * Parses a snapshot.
+     *
+     * @param knownSections the names of the sections that this program supports
+     * @throws SnapshotException if the text is damaged, or was written by a newer program
+     */
+    public static Snapshot read(String text, Set<String> knownSections) throws SnapshotException {
         JsonObject root;
         try {
             root = JsonParser.parseString(text).getAsJsonObject();
         } catch (JsonParseException | IllegalStateException e) {
-            throw new SnapshotException("it is damaged: no JSON object");
+            throw new SnapshotException("damaged: not a JSON object");
         }
         if (!FORMAT.equals(string(root.get("format")))) {
-            throw new SnapshotException("it is no snapshot: format is not " + FORMAT);
+            throw new SnapshotException("not a snapshot: format is not " + FORMAT);
         }
         long version = number(root, "version");
         if (version > FORMAT_VERSION) {
-            throw new SnapshotException("it was written by a newer program: version " + version + ", and this one reads "
+            throw new SnapshotException("written by a newer program: version " + version + ", and this one reads "
                 + FORMAT_VERSION);
         }
-        String sum = string(root.remove("checksum"));
-        if (!checksum(root).equals(sum)) {
-            throw new SnapshotException("it is damaged: the checksum does not fit what it holds");
+        String checksum = string(root.remove("checksum"));
+        if (!checksum(root).equals(checksum)) {
+            throw new SnapshotException("damaged: the checksum does not match the content");
         }
-        JsonElement all = root.get("sections");
-        if (all == null || !all.isJsonObject()) {
-            throw new SnapshotException("it is damaged: sections is missing");
+        JsonElement sectionsJson = root.get("sections");
+        if (sectionsJson == null || !sectionsJson.isJsonObject()) {
+            throw new SnapshotException("damaged: sections is missing");
         }
         Map<String, JsonElement> sections = new TreeMap<>();
-        for (Map.Entry<String, JsonElement> section : all.getAsJsonObject().entrySet()) {
-            if (!known.contains(section.getKey())) {
-                throw new SnapshotException("it was written by a newer program: section " + section.getKey()
-                    + " is not known");
+        for (Map.Entry<String, JsonElement> section : sectionsJson.getAsJsonObject().entrySet()) {
+            if (!knownSections.contains(section.getKey())) {
+                throw new SnapshotException("written by a newer program: section " + section.getKey()
+                    + " is unknown");
             }
             sections.put(section.getKey(), section.getValue());
         }
@@ -110,20 +120,21 @@
         try {
             return root.get(key).getAsLong();
         } catch (RuntimeException e) {
-            throw new SnapshotException("it is damaged: " + key + " is no number");
+            throw new SnapshotException("damaged: " + key + " is not a number");
         }
     }
 
     private static String checksum(JsonObject root) {
         try {
-            byte[] sum = MessageDigest.getInstance("SHA-256")
+            byte[] digest = MessageDigest.getInstance("SHA-256")
                 .digest(canonical(root).toString().getBytes(StandardCharsets.UTF_8));
-            return "sha256:" + HexFormat.of().formatHex(sum);
+            return "sha256:" + HexFormat.of().formatHex(digest);
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException(e);
         }
     }
 
+    /** Returns a copy whose objects have their members sorted by name. */
     private static JsonElement canonical(JsonElement value) {
         if (value.isJsonObject()) {
             JsonObject sorted = new JsonObject();
--- a/src/main/java/badgermux/operator/SnapshotException.java
+++ b/src/main/java/badgermux/operator/SnapshotException.java
@@ -1,6 +1,6 @@
 package badgermux.operator;
 
-/** A snapshot that can't be used; the message says why in one line. */
+/** Thrown for a snapshot that can't be used; the message gives the reason in one line. */
 public final class SnapshotException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/badgermux/operator/SnapshotStore.java
+++ b/src/main/java/badgermux/operator/SnapshotStore.java
@@ -14,10 +14,11 @@
 import org.tinylog.Logger;
 
 /**
- * Keeps the snapshot and its file in step. Used by one thread, which may block. A write goes to a temporary file beside
- * it, is forced to disk and renamed, so that a crash leaves the old file or the new one.
+ * Holds the current snapshot and stores it in a file. A write goes to a temporary file in the same folder, is forced to disk and
+ * renamed, so that a crash leaves either the old or the new file. Methods block and must be called by one thread.
  */
 public final class SnapshotStore {
+    /** Null where nothing is stored. */
     private final Path file;
     private Snapshot current;
     private boolean failureLogged;
@@ -28,9 +29,11 @@
     }
 
     /**
-     * Opens it; {@code file} is null where nothing is kept. A file that does not exist yet is an empty snapshot.
+     * Opens the store and reads its file. A file that does not exist is read as an empty snapshot.
      *
-     * @throws SnapshotException for a file that is there and can't be used, with its name in the message
+     * @param file     the file; null where nothing is stored
+     * @param sections the names of the sections that this program supports
+     * @throws SnapshotException if the file exists but can't be used; the message has its name
      */
     public static SnapshotStore open(Path file, Set<String> sections) throws SnapshotException {
         if (file == null) {
@@ -43,7 +46,7 @@
         } catch (IOException e) {
             throw new SnapshotException("snapshot " + file + " can't be read");
         } catch (SnapshotException e) {
-            throw new SnapshotException("snapshot " + file + " is not used: " + e.getMessage());
+            throw new SnapshotException("snapshot " + file + " can't be used: " + e.getMessage());
         }
     }
 
@@ -52,8 +55,9 @@
     }
 
     /**
-     * Makes a snapshot the current one and writes it; false where it could not be written, which the log says the first
-     * time. It counts all the same.
+     * Makes a snapshot the current one and writes it to the file.
+     *
+     * @return whether it was written; if not, it is current all the same, and the first such failure is logged
      */
     public boolean replace(Snapshot next) {
         current = next;
@@ -67,7 +71,7 @@
         } catch (IOException e) {
             if (!failureLogged) {
                 failureLogged = true;
-                Logger.warn("snapshot {} can't be written ({}); what is set counts until the program ends", file,
+                Logger.warn("Snapshot {} can't be written ({}); the settings last until the program ends", file,
                     e.getClass().getSimpleName());
             }
             return false;
@@ -86,7 +90,7 @@
             out.force(true);
         }
         Files.move(temporary, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
-        // Guards against a crash that forgets the rename.
+        // Forces the rename to disk, too; otherwise a crash could undo it.
         try (FileChannel directory = FileChannel.open(folder, StandardOpenOption.READ)) {
             directory.force(true);
         }
--- a/src/main/java/badgermux/operator/package-info.java
+++ b/src/main/java/badgermux/operator/package-info.java
@@ -1,2 +1,2 @@
-/** What operators have set through the admin API, and the one snapshot that keeps it. */
+/** What operators have set, stored on disk: the snapshot of the admin API, and the cordons. */
 package badgermux.operator;
--- a/src/test/java/badgermux/config/ConfigTest.java
+++ b/src/test/java/badgermux/config/ConfigTest.java
@@ -18,7 +18,8 @@
 
 class ConfigTest {
     private static final String VALID_CONFIG = "{\"name\":\"n\",\"listen\":\"127.0.0.1:1\",\"discovery\":\"127.0.0.1:2\","
-        + "\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":512,\"memory_mb\":144},\"known\":{\"revision\":4,\"members\":[]},"
+        + "\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":512,\"memory_mb\":144},"
+        + "\"known\":{\"revision\":4,\"members\":[]},"
         + "\"settings\":{\"Kinds\":[\"a\",\"b c\"],\"FailureDomains\":[\"z\"],\"Customers\":[],"
         + "\"Ceilings\":{\"MaxAttempts\":3,\"Cancel\":true},\"Extra\":{\"ClassStretch\":[1.5]},"
         + "\"RequestClasses\":[{\"Name\":\"render\",\"Effect\":\"by_key\",\"Group\":\"zone\",\"TargetMs\":100.5,"
@@ -28,39 +29,43 @@
 
     private Config readConfig(String text, Map<String, String> environment) throws ConfigException, IOException {
         Path file = Files.writeString(folder.resolve("config.json"), text);
-        Map<String, String> all = new java.util.HashMap<>(environment);
-        all.put("GW_CONFIG", file.toString());
-        return Config.read(all);
+        Map<String, String> variables = new java.util.HashMap<>(environment);
+        variables.put("GW_CONFIG", file.toString());
+        return Config.read(variables);
     }
 
-    /** The part of a cold runner's work and the order of turns follow from these two. */
+    /** A dispatcher's share of the work for cold backends, and the order in which dispatchers take turns, follow from these. */
     @ParameterizedTest @CsvSource({"1, 0", "14, 13", "100, 99"})
     void readsDispatcherCountAndIndex(int balancers, int me) throws ConfigException, IOException {
-        DispatchPolicy.Settings settings = readConfig(VALID_CONFIG.replace("\"Kinds\"", "\"Balancers\":" + balancers + ",\"Me\":" + me
-            + ",\"Kinds\""), Map.of()).settings();
+        DispatchPolicy.Settings settings = readConfig(VALID_CONFIG.replace("\"Kinds\"",
+            "\"Balancers\":" + balancers + ",\"Me\":" + me + ",\"Kinds\""), Map.of()).settings();
         assertEquals(balancers, settings.dispatcherCount);
         assertEquals(me, settings.dispatcherIndex);
-        assertEquals(1, readConfig(VALID_CONFIG, Map.of()).settings().dispatcherCount, "alone where nothing is said");
+        assertEquals(1, readConfig(VALID_CONFIG, Map.of()).settings().dispatcherCount, "one dispatcher by default");
     }
 
     @ParameterizedTest @CsvSource({"0, 0, dispatchers", "14, 14, index", "-1, 0, Balancers", "1.5, 0, Balancers"})
     void rejectsInvalidDispatcherCountOrIndex(String balancers, int me, String fault) {
         String text = VALID_CONFIG.replace("\"Kinds\"", "\"Balancers\":" + balancers + ",\"Me\":" + me + ",\"Kinds\"");
-        String told = assertThrows(ConfigException.class, () -> readConfig(text, Map.of())).getMessage();
-        assertTrue(told.contains(fault), told);
+        String message = assertThrows(ConfigException.class, () -> readConfig(text, Map.of())).getMessage();
+        assertTrue(message.contains(fault), message);
     }
 
-    /** Blanks and commas are read as underscores: two names that differ in those alone can't be told apart. */
-    @ParameterizedTest @CsvSource(delimiter = '|', value = {"[\"a\",\"b c\"]|[\"a b\",\"a_b\"]|Kinds", "[\"z\"]|[\"z 1\",\"z,1\"]|FailureDomains"})
-    void rejectsNamesEqualAfterNormalization(String old, String by, String fault) {
-        String told = assertThrows(ConfigException.class, () -> readConfig(VALID_CONFIG.replace(old, by), Map.of())).getMessage();
-        assertTrue(told.contains(fault), told);
+    /** Blanks and commas are replaced by underscores, so names that differ only in these become equal. */
+    @ParameterizedTest
+    @CsvSource(delimiter = '|', value = {"[\"a\",\"b c\"]|[\"a b\",\"a_b\"]|Kinds", "[\"z\"]|[\"z 1\",\"z,1\"]|FailureDomains"})
+    void rejectsNamesEqualAfterNormalization(String oldNames, String newNames, String fault) {
+        String message = assertThrows(ConfigException.class,
+            () -> readConfig(VALID_CONFIG.replace(oldNames, newNames), Map.of())).getMessage();
+        assertTrue(message.contains(fault), message);
     }
 
     @Test void fingerprintCoversExactlyTheSettings() throws ConfigException, IOException {
-        String one = readConfig(VALID_CONFIG, Map.of()).settingsFingerprint();
-        assertEquals(one, readConfig(VALID_CONFIG.replace("\"revision\":4", "\"revision\":5").replace("8c1f", "8c1e"), Map.of()).settingsFingerprint());
-        assertTrue(!one.equals(readConfig(VALID_CONFIG.replace("\"GiveUpMs\":2000", "\"GiveUpMs\":2001"), Map.of()).settingsFingerprint()));
+        String fingerprint = readConfig(VALID_CONFIG, Map.of()).settingsFingerprint();
+        String sameSettings = VALID_CONFIG.replace("\"revision\":4", "\"revision\":5").replace("8c1f", "8c1e");
+        assertEquals(fingerprint, readConfig(sameSettings, Map.of()).settingsFingerprint());
+        String otherSettings = VALID_CONFIG.replace("\"GiveUpMs\":2000", "\"GiveUpMs\":2001");
+        assertTrue(!fingerprint.equals(readConfig(otherSettings, Map.of()).settingsFingerprint()));
     }
 
     @Test void environmentOverridesTheFile() throws ConfigException, IOException {
@@ -87,17 +92,17 @@
         "\"GiveUpMs\" ~ \"Other\" ~ RequestClasses.0.GiveUpMs", "\"MaxAttempts\":3 ~ \"MaxAttempts\":0 ~ maxAttempts",
         "\"MaxAttempts\":3 ~ \"ConnectTimeoutMs\":0 ~ settings.Ceilings.ConnectTimeoutMs",
         "\"members\":[] ~ \"members\":7 ~ known", "\"settings\" ~ \"setting\" ~ settings", "{\"name\" ~ x ~ GW_CONFIG"})
-    void errorsNameTheFaultyKey(String good, String bad, String key) {
-        assertTrue(VALID_CONFIG.contains(good), good);
-        String message =
-            assertThrows(ConfigException.class, () -> readConfig(VALID_CONFIG.replace(good, bad), Map.of())).getMessage();
+    void errorsNameTheFaultyKey(String valid, String invalid, String key) {
+        assertTrue(VALID_CONFIG.contains(valid), valid);
+        String message = assertThrows(ConfigException.class,
+            () -> readConfig(VALID_CONFIG.replace(valid, invalid), Map.of())).getMessage();
         assertTrue(message.contains(key) && message.lines().count() == 1, message);
     }
 
     @Test void addressesMustBeNumeric() {
         assertEquals(80, badgermux.http.Address.parse("10.1.2.3:80").getPort());
-        for (String bad : List.of("", ":", "host:80", "1.2.3.4", "1.2.3.4:", "1.2.3.4:70000", "1.2.3.400:1")) {
-            assertNull(badgermux.http.Address.parse(bad), bad);
+        for (String invalid : List.of("", ":", "host:80", "1.2.3.4", "1.2.3.4:", "1.2.3.4:70000", "1.2.3.400:1")) {
+            assertNull(badgermux.http.Address.parse(invalid), invalid);
         }
     }
 }
