--- a/src/main/java/badgermux/console/CommandHandler.java
+++ b/src/main/java/badgermux/console/CommandHandler.java
@@ -3,23 +3,23 @@
 import io.netty.channel.ChannelHandler;
 import java.util.function.Consumer;
 
-/** What callers reach. Asked on the event loop, and told there what came of it. */
+/** Carries out the console's commands. Methods and callbacks run on the event loop. */
 public interface CommandHandler {
-    /** Why this process is not ready to serve; null where it is. */
+    /** Returns why this process is not ready to serve; null where it is ready. */
     String notReadyReason();
 
-    /** The figures, in whole lines. */
+    /** Returns the metrics as whole lines. */
     String metricsText();
 
-    /** Takes a runner out; tells null once it is kept, or why it can't be. */
-    void cordon(String id, Consumer<String> told);
+    /** Cordons a backend. {@code onDone} receives null once the cordon is stored, or the reason why it can't be. */
+    void cordon(String id, Consumer<String> onDone);
 
-    /** Puts a runner back; tells null once that is kept, or why it can't be. */
-    void uncordon(String id, Consumer<String> told);
+    /** Ends a backend's cordon. {@code onDone} receives null once that is stored, or the reason why it can't be. */
+    void uncordon(String id, Consumer<String> onDone);
 
-    /** What goes on with the connection of the next process; null where the secret is not ours. */
+    /** Returns the handler for the next process's connection; null where the takeover is refused. */
     ChannelHandler createHandoverLink(String secret);
 
-    /** The connection is handed on to what {@link #createHandoverLink} gave. */
-    void startHandover(ChannelHandler by);
+    /** Called once the handler from {@link #createHandoverLink} is in the connection's pipeline. */
+    void startHandover(ChannelHandler link);
 }
--- a/src/main/java/badgermux/console/Console.java
+++ b/src/main/java/badgermux/console/Console.java
@@ -16,11 +16,11 @@
 import java.net.SocketAddress;
 import java.util.LinkedHashSet;
 
-/** Where operators call: a listener of its own, with room of its own. */
+/** The operators' console: a listener on its own address, with its own limit on connections. */
 public final class Console {
-    /** A caller that has brought no whole line by then is closed. */
+    /** A connection on which no complete line arrives in this time is closed. */
     static final long COMMAND_TIMEOUT_MICROS = 5_000_000;
-    /** How long a caller that has its answer is heard out before it is closed. */
+    /** How long the console waits after its reply for the other side to close the connection. */
     static final long LINGER_MICROS = 1_000_000;
 
     private final EventLoopGroup loop;
@@ -28,24 +28,25 @@
     private final Metrics metrics;
     private final CommandHandler handler;
     private int maxConnections;
-    /** Those that have no answer yet, the one that has waited longest first; then those that are heard out. */
+    /** Connections without a reply yet, the oldest first. */
     private final LinkedHashSet<ConsoleConnection> waiting = new LinkedHashSet<>();
+    /** Connections that have their reply and are not closed yet, the oldest first. */
     private final LinkedHashSet<ConsoleConnection> lingering = new LinkedHashSet<>();
     private Channel listener;
 
-    /** Makes a console that does not listen yet; {@code cap} bounds how many callers there are at once. */
-    public Console(EventLoopGroup loop, Deadlines deadlines, Metrics metrics, CommandHandler handler, int cap) {
+    /** Creates a console that does not listen yet. */
+    public Console(EventLoopGroup loop, Deadlines deadlines, Metrics metrics, CommandHandler handler, int maxConnections) {
         this.loop = loop;
         this.deadlines = deadlines;
         this.metrics = metrics;
         this.handler = handler;
-        this.maxConnections = cap;
+        this.maxConnections = maxConnections;
     }
 
-    /** Listens on this address only. */
-    public ChannelFuture listen(InetSocketAddress at) {
+    /** Starts to listen on an address. */
+    public ChannelFuture listen(InetSocketAddress address) {
         ChannelFuture bound = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-            // Guards against a batch that is accepted whole before the first of it is counted: one after another.
+            // Accepts one connection per read, so that each is counted before the next is accepted.
             .option(ChannelOption.RECVBUF_ALLOCATOR, new ServerChannelRecvByteBufAllocator())
             .option(ChannelOption.SO_BACKLOG, 256).option(ChannelOption.SO_REUSEADDR, true)
             .childOption(ChannelOption.TCP_NODELAY, true).childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
@@ -53,48 +54,51 @@
                 @Override protected void initChannel(SocketChannel channel) {
                     channel.pipeline().addLast(new ConsoleConnection(Console.this, channel));
                 }
-            }).bind(at);
+            }).bind(address);
         listener = bound.channel();
         return bound;
     }
 
-    /** Where it listens; null where it does not. */
+    /** Returns the address that the console listens on; null where it does not listen. */
     public SocketAddress address() {
         return listener == null ? null : listener.localAddress();
     }
 
-    /** Bounds how many callers there are at once from here on. */
-    public void setMaxConnections(int most) {
-        maxConnections = most;
+    /** Sets the limit for connections opened from here on. */
+    public void setMaxConnections(int newMaxConnections) {
+        maxConnections = newMaxConnections;
     }
 
-    /** Takes no more callers; those who wait still get their answer. */
+    /** Stops accepting connections; open ones still get their reply. */
     public void close() {
         listener.close();
     }
 
-    // ---- For its callers
+    // ---- Called by connections
 
-    /** Guards against callers that hold all places with half a call: who comes gets the place of who waited longest. */
-    void onOpened(ConsoleConnection caller) {
+    /**
+     * Registers a connection. At the limit, the oldest connection is closed, one that has its reply if possible: otherwise
+     * connections that never complete a line could lock out operators.
+     */
+    void onOpened(ConsoleConnection connection) {
         if (waiting.size() + lingering.size() >= maxConnections) {
-            ConsoleConnection victim = (lingering.isEmpty() ? waiting : lingering).iterator().next();
+            ConsoleConnection oldest = (lingering.isEmpty() ? waiting : lingering).iterator().next();
             metrics.increment(Count.CONSOLE_CALLERS_EVICTED);
-            onClosed(victim);
-            victim.close();
+            onClosed(oldest);
+            oldest.close();
         }
-        waiting.add(caller);
+        waiting.add(connection);
     }
 
-    void onAnswered(ConsoleConnection caller) {
-        if (waiting.remove(caller)) {
-            lingering.add(caller);
+    void onAnswered(ConsoleConnection connection) {
+        if (waiting.remove(connection)) {
+            lingering.add(connection);
         }
     }
 
-    void onClosed(ConsoleConnection caller) {
-        waiting.remove(caller);
-        lingering.remove(caller);
+    void onClosed(ConsoleConnection connection) {
+        waiting.remove(connection);
+        lingering.remove(connection);
     }
 
     CommandHandler handler() {
--- a/src/main/java/badgermux/console/ConsoleCommand.java
+++ b/src/main/java/badgermux/console/ConsoleCommand.java
@@ -4,26 +4,26 @@
 import java.util.Locale;
 
 /**
- * A call as its line says it.
+ * A command of the console's line protocol.
  *
- * @param verb what is asked
- * @param argument   the runner it is asked of; null where none is
+ * @param verb     the verb
+ * @param argument the id of a backend, or the secret of TAKEOVER; null where the verb takes none
  */
 public record ConsoleCommand(Verb verb, String argument) {
-    /** What may be asked. */
+    /** The first word of a line. */
     public enum Verb {
         HEALTH(false), DUMP(false), OFFLINE(true), ONLINE(true),
-        /** From the next process of this dispatcher; in place of an id there is the secret that this one wrote down. */
+        /** Sent by the next process of this dispatcher, with the secret from the file that this process wrote. */
         TAKEOVER(true);
 
         private final boolean takesArgument;
 
-        Verb(boolean ofRunner) {
-            this.takesArgument = ofRunner;
+        Verb(boolean takesArgument) {
+            this.takesArgument = takesArgument;
         }
     }
 
-    /** A line that is no call; the message is the reason, in one line of plain text. */
+    /** Thrown for a line that is not a command; the message, one line of ASCII text, is sent as the reply. */
     public static final class MalformedCommandException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -32,16 +32,16 @@
         }
     }
 
-    /** The longest line in bytes, its end not counted. */
+    /** The length limit of a line, without its line end. */
     public static final int MAX_LINE_BYTES = 256;
-    /** The longest id of a runner. */
+    /** The length limit of a backend's id. */
     public static final int MAX_ID_CHARS = 128;
 
     /**
-     * Reads a line without its end. Words may come in small letters too; blanks around and between them don't count.
+     * Parses a line without its line end. Verbs are case-insensitive; blanks may surround and separate the words.
      *
-     * @throws MalformedCommandException where it is too long or not plain ASCII, begins with no known word, or has an argument too many or
-     *     too few
+     * @throws MalformedCommandException if the line is too long or not printable ASCII, the verb is unknown, or the number of
+     *     arguments is wrong
      */
     public static ConsoleCommand parse(byte[] line) throws MalformedCommandException {
         if (line.length > MAX_LINE_BYTES) {
@@ -53,24 +53,24 @@
             }
         }
         String[] parts = new String(line, StandardCharsets.US_ASCII).strip().split("[ \t]+");
-        Verb word = verb(parts[0]);
-        if (parts.length > (word.takesArgument ? 2 : 1)) {
-            throw new MalformedCommandException(word + " has an argument too many");
+        Verb verb = parseVerb(parts[0]);
+        if (parts.length > (verb.takesArgument ? 2 : 1)) {
+            throw new MalformedCommandException(verb + " has an argument too many");
         }
-        if (parts.length < (word.takesArgument ? 2 : 1)) {
-            throw new MalformedCommandException(word + " needs " + (word == Verb.TAKEOVER ? "a secret" : "the id of a runner"));
+        if (parts.length < (verb.takesArgument ? 2 : 1)) {
+            throw new MalformedCommandException(verb + " needs " + (verb == Verb.TAKEOVER ? "a secret" : "the id of a runner"));
         }
-        String id = word.takesArgument ? parts[1] : null;
-        if (id != null && id.length() > MAX_ID_CHARS) {
+        String argument = verb.takesArgument ? parts[1] : null;
+        if (argument != null && argument.length() > MAX_ID_CHARS) {
             throw new MalformedCommandException("no runner has an id of more than " + MAX_ID_CHARS + " characters");
         }
-        return new ConsoleCommand(word, id);
+        return new ConsoleCommand(verb, argument);
     }
 
-    private static Verb verb(String text) throws MalformedCommandException {
-        for (Verb word : Verb.values()) {
-            if (word.name().equals(text.toUpperCase(Locale.ROOT))) {
-                return word;
+    private static Verb parseVerb(String text) throws MalformedCommandException {
+        for (Verb verb : Verb.values()) {
+            if (verb.name().equals(text.toUpperCase(Locale.ROOT))) {
+                return verb;
             }
         }
         throw new MalformedCommandException("the calls are HEALTH, DUMP, OFFLINE ID and ONLINE ID");
--- a/src/main/java/badgermux/console/ConsoleConnection.java
+++ b/src/main/java/badgermux/console/ConsoleConnection.java
@@ -16,7 +16,7 @@
 import java.util.Arrays;
 import org.tinylog.Logger;
 
-/** An operator's connection: one line, in whatever pieces it comes, and its answer. */
+/** An operator's connection: reads one command line, which may arrive in pieces, and sends the reply. */
 final class ConsoleConnection extends ChannelInboundHandlerAdapter {
     private final Console console;
     private final SocketChannel channel;
@@ -42,7 +42,7 @@
 
     @Override public void channelRead(ChannelHandlerContext ctx, Object message) {
         ByteBuf in = (ByteBuf) message;
-        // What comes behind a call is read and forgotten: a close with bytes unread would eat the answer on its way.
+        // Input after the command is read and discarded: closing a socket with unread input resets it and may lose the reply.
         while (!commandReceived && in.isReadable()) {
             byte b = in.readByte();
             if (b == '\n' || line.size() > ConsoleCommand.MAX_LINE_BYTES) {
@@ -57,7 +57,7 @@
     @Override public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
         if (event instanceof ChannelInputShutdownEvent) {
             if (!commandReceived && line.size() > 0) {
-                runCommand();     // the end of input ends a line, too
+                runCommand();     // the end of input also ends a line
             } else if (!commandReceived || answered) {
                 close();
             }
@@ -69,14 +69,16 @@
         byte[] bytes = line.toByteArray();
         int length = bytes.length > 0 && bytes[bytes.length - 1] == '\r' ? bytes.length - 1 : bytes.length;
         try {
-            ConsoleCommand call = ConsoleCommand.parse(Arrays.copyOf(bytes, length));
+            ConsoleCommand command = ConsoleCommand.parse(Arrays.copyOf(bytes, length));
             console.metrics().increment(Count.CONSOLE_CALLS);
-            switch (call.verb()) {
+            switch (command.verb()) {
                 case HEALTH -> replyStatus(console.handler().notReadyReason(), "ready");
                 case DUMP -> reply("200 figures follow\n" + console.handler().metricsText() + "EOF\n");
-                case OFFLINE -> console.handler().cordon(call.argument(), why -> replyStatus(why, "out: " + call.argument()));
-                case TAKEOVER -> becomeHandoverLink(call.argument());
-                case ONLINE -> console.handler().uncordon(call.argument(), why -> replyStatus(why, "back: " + call.argument()));
+                case OFFLINE -> console.handler().cordon(command.argument(),
+                    failure -> replyStatus(failure, "out: " + command.argument()));
+                case TAKEOVER -> becomeHandoverLink(command.argument());
+                case ONLINE -> console.handler().uncordon(command.argument(),
+                    failure -> replyStatus(failure, "back: " + command.argument()));
             }
         } catch (ConsoleCommand.MalformedCommandException e) {
             replyStatus(e.getMessage(), null);
@@ -84,22 +86,23 @@
     }
 
     private void becomeHandoverLink(String secret) {
-        ChannelHandler next = console.handler().createHandoverLink(secret);
-        if (next == null) {
+        ChannelHandler link = console.handler().createHandoverLink(secret);
+        if (link == null) {
             replyStatus("that is not the secret of this process", null);
             return;
         }
         console.deadlines().cancel(timeout);
         console.onClosed(this);
-        channel.pipeline().replace(this, "link", next);
-        console.handler().startHandover(next);
+        channel.pipeline().replace(this, "link", link);
+        console.handler().startHandover(link);
     }
 
-    private void replyStatus(String no, String yes) {
-        if (no != null) {
+    /** Replies 400 with the failure, or 200 with {@code success} where the failure is null. */
+    private void replyStatus(String failure, String success) {
+        if (failure != null) {
             console.metrics().increment(Count.CONSOLE_CALLS_REFUSED);
         }
-        reply(no == null ? "200 " + yes + "\n" : "400 " + no + "\n");
+        reply(failure == null ? "200 " + success + "\n" : "400 " + failure + "\n");
     }
 
     private void reply(String text) {
@@ -110,7 +113,8 @@
         channel.writeAndFlush(Unpooled.wrappedBuffer(text.getBytes(StandardCharsets.US_ASCII)))
             .addListener(ChannelFutureListener.CLOSE_ON_FAILURE)
             .addListener(done -> {
-                // Guards against a reset that overtakes the answer: the caller closes first, or has a second for it.
+                // Lets the other side close first, for a second: an immediate close might reset the connection before the
+                // reply is read.
                 if (channel.isInputShutdown()) {
                     close();
                 } else {
@@ -131,7 +135,7 @@
     @Override public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (!(cause instanceof IOException)) {
             console.metrics().increment(Count.EXCEPTIONS);
-            Logger.error(cause, "exception on an operator's connection");
+            Logger.error(cause, "Exception on a console connection");
         }
         ctx.close();
     }
--- a/src/main/java/badgermux/console/package-info.java
+++ b/src/main/java/badgermux/console/package-info.java
@@ -1,2 +1,2 @@
-/** The line protocol on the second address, by which operators' staff and their programs call. */
+/** The console: a line protocol on a separate address for operators and their programs. */
 package badgermux.console;
--- a/src/test/java/badgermux/arch/PackageDependenciesTest.java
+++ b/src/test/java/badgermux/arch/PackageDependenciesTest.java
@@ -12,27 +12,30 @@
 import com.tngtech.archunit.lang.ArchRule;
 import org.junit.jupiter.api.Test;
 
-/** Which way packages may lean, kept by the build. */
+/** Checks which packages may depend on which. */
 @AnalyzeClasses(packages = "badgermux", importOptions = ImportOption.DoNotIncludeTests.class)
 class PackageDependenciesTest {
-    private static final String[] PURE_PACKAGES = {"badgermux.decide..", "badgermux.contract..", "badgermux.zone..", "badgermux.cordon.."};
+    private static final String[] PURE_PACKAGES = {"badgermux.decide..", "badgermux.contract..", "badgermux.zone..",
+        "badgermux.cordon.."};
 
-    /** Decisions and judgements: bytes, events, times and random numbers come in, and nothing else. */
+    /** Decisions and contract validation depend only on what the caller passes in: bytes, events, times and random numbers. */
     @ArchTest static final ArchRule PURE_PACKAGES_DO_NO_IO = noClasses().that().resideInAnyPackage(PURE_PACKAGES)
-        .should().dependOnClassesThat().resideInAnyPackage("io.netty..", "java.nio.file..", "java.nio.channels..", "java.net.http..",
-            "java.util.concurrent..", "org.tinylog..", "badgermux.core..", "badgermux.front..", "badgermux.backend..",
+        .should().dependOnClassesThat().resideInAnyPackage("io.netty..", "java.nio.file..", "java.nio.channels..",
+            "java.net.http..", "java.util.concurrent..", "org.tinylog..", "badgermux.core..", "badgermux.front..", "badgermux.backend..",
             "badgermux.discovery..", "badgermux.config..", "badgermux.http..", "badgermux.admin..", "badgermux.gate..")
         .orShould().dependOnClassesThat().haveFullyQualifiedName("java.io.File")
         .orShould().dependOnClassesThat().haveFullyQualifiedName("java.lang.Thread")
         .allowEmptyShould(true);
 
-    @ArchTest static final ArchRule PURE_PACKAGES_USE_NO_CLOCK_OR_RANDOMNESS = noClasses().that().resideInAnyPackage(PURE_PACKAGES)
+    @ArchTest static final ArchRule PURE_PACKAGES_USE_NO_CLOCK_OR_RANDOMNESS = noClasses()
+        .that().resideInAnyPackage(PURE_PACKAGES)
         .should().callMethod(System.class, "currentTimeMillis").orShould().callMethod(System.class, "nanoTime")
         .orShould().callMethod(Math.class, "random").orShould().dependOnClassesThat().resideInAnyPackage("java.time..")
         .allowEmptyShould(true);
 
-    /** Only what joins the parts reads settings. */
-    @ArchTest static final ArchRule ONLY_TOP_LEVEL_CODE_READS_THE_CONFIGURATION = classes().that().resideInAPackage("badgermux.config..")
+    /** Components get their settings from the classes that create them. */
+    @ArchTest static final ArchRule ONLY_TOP_LEVEL_CODE_READS_THE_CONFIGURATION = classes()
+        .that().resideInAPackage("badgermux.config..")
         .should().onlyBeAccessed().byAnyPackage("badgermux", "badgermux.config..", "badgermux.sim..");
 
     @ArchTest static final ArchRule ENGINE_IS_INDEPENDENT_OF_PROTOCOLS = noClasses().that().resideInAPackage("badgermux.core..")
@@ -42,7 +45,8 @@
     @ArchTest static final ArchRule NO_PACKAGE_CYCLES = slices().matching("badgermux.(*)..").should().beFreeOfCycles();
 
     @Test void rulesCoverTheProductionClasses() {
-        JavaClasses all = new ClassFileImporter().withImportOption(new ImportOption.DoNotIncludeTests()).importPackages("badgermux");
-        org.junit.jupiter.api.Assertions.assertTrue(all.size() > 80);
+        JavaClasses classes = new ClassFileImporter().withImportOption(new ImportOption.DoNotIncludeTests())
+            .importPackages("badgermux");
+        org.junit.jupiter.api.Assertions.assertTrue(classes.size() > 80);
     }
 }
--- a/src/test/java/badgermux/console/ConsoleCommandTest.java
+++ b/src/test/java/badgermux/console/ConsoleCommandTest.java
@@ -19,14 +19,15 @@
 
     @ParameterizedTest @CsvSource({"HEALTH, HEALTH,", "' dump ', DUMP,", "OFFLINE s-0badcafe, OFFLINE, s-0badcafe",
         "'ONLINE\t  s:1.2', ONLINE, s:1.2"})
-    void parsesCommands(String line, ConsoleCommand.Verb word, String id) throws ConsoleCommand.MalformedCommandException {
-        assertEquals(new ConsoleCommand(word, id), parse(line));
+    void parsesCommands(String line, ConsoleCommand.Verb verb, String argument) throws ConsoleCommand.MalformedCommandException {
+        assertEquals(new ConsoleCommand(verb, argument), parse(line));
     }
 
     @ParameterizedTest @ValueSource(strings = {"", " ", "FOO", "HEALTHY", "HEALTH now", "DUMP all", "OFFLINE", "ONLINE ",
         "OFFLINE a b", "OFFLINE \u0007", "HEALTH\r", "OFFLINE \u00e9", "\0"})
     void rejectsMalformedLinesWithAReason(String line) {
-        assertTrue(assertThrows(ConsoleCommand.MalformedCommandException.class, () -> parse(line)).getMessage().matches("[ -~]{10,120}"));
+        assertTrue(assertThrows(ConsoleCommand.MalformedCommandException.class, () -> parse(line)).getMessage()
+            .matches("[ -~]{10,120}"));
     }
 
     @ParameterizedTest @ValueSource(ints = {ConsoleCommand.MAX_ID_CHARS + 1, ConsoleCommand.MAX_LINE_BYTES})
@@ -36,8 +37,8 @@
 
     @Property void anyBytesGiveACommandOrAReason(@ForAll @Size(max = 300) byte[] bytes) {
         try {
-            ConsoleCommand call = ConsoleCommand.parse(bytes);
-            assertTrue(call.argument() == null || call.argument().matches("[!-~]+"));
+            ConsoleCommand command = ConsoleCommand.parse(bytes);
+            assertTrue(command.argument() == null || command.argument().matches("[!-~]+"));
         } catch (ConsoleCommand.MalformedCommandException e) {
             assertTrue(e.getMessage().matches("[ -~]+"));
         }
