--- a/src/main/java/badgermux/admin/AdminConnection.java
+++ b/src/main/java/badgermux/admin/AdminConnection.java
@@ -13,12 +13,12 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** An operator's connection: one call at a time; what is sent ahead of an answer is not read until then. */
+/** An operator's connection. It handles one request at a time; pipelined input is not read before the response is sent. */
 final class AdminConnection extends ChannelInboundHandlerAdapter implements MessageReader.Listener {
     private final AdminServer server;
     private final SocketChannel channel;
     private final MessageReader reader = new MessageReader(false, AdminServer.MAX_BODY_BYTES, this);
-    private final ByteBuf pending = io.netty.buffer.Unpooled.buffer(1024);
+    private final ByteBuf input = io.netty.buffer.Unpooled.buffer(1024);
     private Deadlines.Deadline timeout;
     private MessageHead head;
     private List<byte[]> body = new ArrayList<>();
@@ -38,7 +38,7 @@
     @Override public void channelRead(ChannelHandlerContext ctx, Object message) {
         ByteBuf in = (ByteBuf) message;
         if (!closing) {
-            pending.discardReadBytes().writeBytes(in);
+            input.discardReadBytes().writeBytes(in);
         }
         in.release();
         process();
@@ -46,7 +46,7 @@
 
     private void process() {
         try {
-            while (!requestPending && !closing && pending.isReadable() && reader.read(pending)) {
+            while (!requestPending && !closing && input.isReadable() && reader.read(input)) {
                 handleRequest();
             }
         } catch (InvalidMessageException e) {
@@ -55,13 +55,13 @@
         channel.config().setAutoRead(!requestPending);
     }
 
-    @Override public void onHead(MessageHead came) throws InvalidMessageException {
-        head = came;
-        refusal = server.checkHead(came);
+    @Override public void onHead(MessageHead newHead) throws InvalidMessageException {
+        head = newHead;
+        refusal = server.checkHead(newHead);
         if (refusal != null && refusal.status() != 404) {
-            // Guards against a stranger's body: it is not even read.
+            // Responds before the body is read, so that an unauthorized client can't send a large one.
             respond(refusal, false);
-        } else if (came.hasListItem("Expect", "100-continue")) {
+        } else if (newHead.hasListItem("Expect", "100-continue")) {
             channel.writeAndFlush(MessageEncoder.message("HTTP/1.1 100 Continue\r\n", new byte[0]));
         }
     }
@@ -76,8 +76,8 @@
         if (closing) {
             return;
         }
-        String[] line = head.requestLine();
-        if (!line[1].startsWith("/")) {
+        String[] requestLine = head.requestLine();
+        if (!requestLine[1].startsWith("/")) {
             throw new InvalidMessageException(400, "the target is no path");
         }
         List<byte[]> content = body;
@@ -85,17 +85,17 @@
         boolean keepAlive = head.isKeepAlive();
         requestPending = true;
         server.deadlines().cancel(timeout);
-        server.handle(line[0], line[1], head.get("If-Match"), content, reply -> {
+        server.handle(requestLine[0], requestLine[1], head.get("If-Match"), content, response -> {
             requestPending = false;
-            respond(reply, keepAlive);
+            respond(response, keepAlive);
         });
     }
 
-    private void respond(AdminResponse reply, boolean keepAlive) {
+    private void respond(AdminResponse response, boolean keepAlive) {
         if (closing) {
             return;
         }
-        var written = channel.writeAndFlush(AdminServer.encode(reply, keepAlive));
+        var written = channel.writeAndFlush(AdminServer.encode(response, keepAlive));
         server.deadlines().cancel(timeout);
         if (keepAlive) {
             timeout = server.deadlines().scheduleAfter(AdminServer.REQUEST_TIMEOUT_MICROS, channel::close);
@@ -103,10 +103,11 @@
             return;
         }
         closing = true;
-        // Guards against connections that count as open until their time is up: the other side's end is read at once.
+        // Keeps reading to notice the other side's close at once; otherwise the connection would count until its timeout.
         channel.config().setAutoRead(true);
-        pending.clear().capacity(0);
-        // The other side is heard out for a moment, lest a reset eats the answer on its way.
+        input.clear().capacity(0);
+        // Lets the other side close first, for a second: an immediate close might reset the connection before the response
+        // is read.
         written.addListener(done -> channel.shutdownOutput()).addListener(ChannelFutureListener.CLOSE_ON_FAILURE);
         timeout = server.deadlines().scheduleAfter(1_000_000, channel::close);
     }
--- a/src/main/java/badgermux/admin/AdminRequest.java
+++ b/src/main/java/badgermux/admin/AdminRequest.java
@@ -4,12 +4,12 @@
 import java.util.Map;
 
 /**
- * One call of the admin API.
+ * A request of the admin API.
  *
- * @param method  the method
- * @param path    the path's segments behind the resource's own, percent-encoding undone
- * @param query   the query's pairs; the last of a name counts
- * @param ifMatch the value of If-Match; null for none
- * @param body    the body; empty for none
+ * @param method  the HTTP method
+ * @param path    the path's segments after the resource's own, percent-decoded
+ * @param query   the query parameters; of several with one name, the last
+ * @param ifMatch the value of If-Match; null if absent
+ * @param body    the body; empty if there is none
  */
 public record AdminRequest(String method, List<String> path, Map<String, String> query, String ifMatch, byte[] body) { }
--- a/src/main/java/badgermux/admin/AdminResponse.java
+++ b/src/main/java/badgermux/admin/AdminResponse.java
@@ -9,41 +9,41 @@
 import java.util.List;
 
 /**
- * The answer to a call.
+ * A response of the admin API.
  *
  * @param status  the HTTP status
- * @param headers whole lines, each with its end
- * @param body    the body; empty for none
+ * @param headers complete header lines, each with its line end
+ * @param body    the body; empty if there is none
  */
 public record AdminResponse(int status, String headers, byte[] body) {
     private static final Gson GSON = new GsonBuilder().setPrettyPrinting().disableHtmlEscaping().serializeNulls()
         .create();
 
-    /** A JSON answer. */
+    /** Creates a JSON response. */
     public static AdminResponse json(int status, JsonElement content) {
         return json(status, "", content);
     }
 
-    /** A JSON answer with further header lines. */
+    /** Creates a JSON response with further header lines. */
     public static AdminResponse json(int status, String headers, JsonElement content) {
         return new AdminResponse(status, "Content-Type: application/json\r\n" + headers,
             (GSON.toJson(content) + '\n').getBytes(StandardCharsets.UTF_8));
     }
 
-    /** A refusal (RFC 9457). */
+    /** Creates an error response (RFC 9457). */
     public static AdminResponse problem(int status, String detail) {
         return problem(status, detail, List.of());
     }
 
-    /** A refusal with its reasons one by one. */
+    /** Creates an error response with a list of reasons. */
     public static AdminResponse problem(int status, String detail, List<? extends JsonElement> reasons) {
         JsonObject problem = new JsonObject();
         problem.addProperty("status", status);
         problem.addProperty("detail", detail);
         if (!reasons.isEmpty()) {
-            JsonArray all = new JsonArray();
-            reasons.forEach(all::add);
-            problem.add("problems", all);
+            JsonArray problems = new JsonArray();
+            reasons.forEach(problems::add);
+            problem.add("problems", problems);
         }
         return new AdminResponse(status, "Content-Type: application/problem+json\r\n"
             + (status == 401 ? "WWW-Authenticate: Bearer\r\n" : ""),
--- a/src/main/java/badgermux/admin/AdminServer.java
+++ b/src/main/java/badgermux/admin/AdminServer.java
@@ -33,48 +33,55 @@
 import org.tinylog.Logger;
 
 /**
- * Where operators call: a listener of its own on the event loop, which reads calls and writes answers. What they ask for
- * is carried out by one other thread, one call after another.
+ * The HTTP server of the admin API. Its connections run on the event loop, which reads requests and writes responses; a
+ * separate thread handles the requests one after another.
  */
 public final class AdminServer {
-    /** The longest body of a call, in bytes: a set of descriptions, wrapped in JSON. */
+    /** The size limit of a request body: a set of descriptions in JSON. */
     static final int MAX_BODY_BYTES = 40 << 20;
-    /** A call must have come whole within this time, in microseconds. */
+    /** A connection on which no complete request arrives in this time is closed. */
     static final long REQUEST_TIMEOUT_MICROS = 30_000_000;
-    private static final int MAX_CONNECTIONS = 8, MAX_QUEUED_REQUESTS = 8;
+    private static final int MAX_CONNECTIONS = 8;
+    private static final int MAX_QUEUED_REQUESTS = 8;
 
     private final Deadlines deadlines;
     private final Metrics metrics;
     private final EventLoopGroup loop;
+    /** SHA-256 of the bearer token; null where none is required. */
     private final byte[] tokenDigest;
     private final Map<String, Resource> resources = new TreeMap<>();
     private final ThreadPoolExecutor executor;
     private Channel listener;
     private int openConnections;
 
-    /** {@code token} is null where none is asked for. */
+    /**
+     * Creates a server that does not listen yet.
+     *
+     * @param token the bearer token that requests need; null where none is required
+     */
     public AdminServer(EventLoopGroup loop, Deadlines deadlines, Metrics metrics, String token) {
         this.loop = loop;
         this.deadlines = deadlines;
         this.metrics = metrics;
         this.tokenDigest = token == null ? null : digest(token);
-        executor = new ThreadPoolExecutor(1, 1, 10, TimeUnit.SECONDS, new ArrayBlockingQueue<>(MAX_QUEUED_REQUESTS), work -> {
-            // Descriptions nest deep, and what compiles them goes down with them.
-            Thread thread = new Thread(null, work, "admin", 64 << 20);
+        executor = new ThreadPoolExecutor(1, 1, 10, TimeUnit.SECONDS, new ArrayBlockingQueue<>(MAX_QUEUED_REQUESTS), task -> {
+            // A 64 MB stack: compiling a description recurses as deep as it nests.
+            Thread thread = new Thread(null, task, "admin", 64 << 20);
             thread.setDaemon(true);
             return thread;
         });
         executor.allowCoreThreadTimeOut(true);
     }
 
-    /** Adds what answers under {@code /v1/NAME}; before it listens. */
+    /** Adds the resource under {@code /v1/NAME}. Must be called before the server listens. */
     public void add(String name, Resource resource) {
         resources.put(name, resource);
     }
 
-    public ChannelFuture listen(InetSocketAddress at) {
+    /** Starts to listen on an address. */
+    public ChannelFuture listen(InetSocketAddress address) {
         ChannelFuture bound = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-            // Guards against a batch that is accepted whole before the first of it is counted: one after another.
+            // Accepts one connection per read, so that each is counted before the next is accepted.
             .option(ChannelOption.RECVBUF_ALLOCATOR, new ServerChannelRecvByteBufAllocator())
             .childOption(ChannelOption.TCP_NODELAY, true)
             .childHandler(new ChannelInitializer<SocketChannel>() {
@@ -87,12 +94,12 @@
                         channel.pipeline().addLast(new AdminConnection(AdminServer.this, channel));
                     }
                 }
-            }).bind(at);
+            }).bind(address);
         listener = bound.channel();
         return bound;
     }
 
-    /** Takes no more calls. */
+    /** Stops accepting connections. */
     public void close() {
         if (listener != null) {
             listener.close();
@@ -103,25 +110,25 @@
         return deadlines;
     }
 
-    /** What a head says against its call before any of its body is read; null for nothing. */
+    /** Checks a request by its head, before its body is read. Returns the refusal; null where the request is allowed. */
     AdminResponse checkHead(MessageHead head) {
         metrics.increment(Count.ADMIN_CALLS);
-        AdminResponse reply = null;
+        AdminResponse refusal = null;
         if (head.get("Host") == null) {
-            reply = AdminResponse.problem(400, "Host is missing");
+            refusal = AdminResponse.problem(400, "Host is missing");
         } else if (head.get("Origin") != null) {
-            // Guards against a page in an operator's browser that calls in their name.
-            reply = AdminResponse.problem(403, "calls from web pages are not taken");
+            // A web page in an operator's browser must not send requests on their behalf.
+            refusal = AdminResponse.problem(403, "calls from web pages are not taken");
         } else if (tokenDigest != null && !isAuthorized(head.get("Authorization"))) {
-            reply = AdminResponse.problem(401, "a bearer token is needed");
+            refusal = AdminResponse.problem(401, "a bearer token is needed");
         }
-        if (reply != null) {
+        if (refusal != null) {
             metrics.increment(Count.ADMIN_CALLS_REFUSED);
         }
-        return reply;
+        return refusal;
     }
 
-    /** Compared as digests in constant time: how long it takes tells nothing of the token. */
+    /** Compares digests in constant time, so that the duration reveals nothing about the token. */
     private boolean isAuthorized(String authorization) {
         return authorization != null && authorization.regionMatches(true, 0, "Bearer ", 0, 7)
             && MessageDigest.isEqual(tokenDigest, digest(authorization.substring(7).strip()));
@@ -135,60 +142,65 @@
         }
     }
 
-    /** Has a call carried out, its body in pieces; {@code then} is told on the event loop. */
-    void handle(String method, String target, String ifMatch, List<byte[]> body, Consumer<AdminResponse> then) {
-        int question = target.indexOf('?');
+    /**
+     * Handles a request on the admin thread.
+     *
+     * @param body     the body in pieces
+     * @param callback receives the response on the event loop
+     */
+    void handle(String method, String target, String ifMatch, List<byte[]> body, Consumer<AdminResponse> callback) {
+        int queryStart = target.indexOf('?');
         List<String> path = new ArrayList<>();
         Map<String, String> query = new HashMap<>();
         try {
-            for (String part : (question < 0 ? target : target.substring(0, question)).substring(1).split("/")) {
-                path.add(URLDecoder.decode(part.replace("+", "%2B"), StandardCharsets.UTF_8));
+            for (String segment : (queryStart < 0 ? target : target.substring(0, queryStart)).substring(1).split("/")) {
+                path.add(URLDecoder.decode(segment.replace("+", "%2B"), StandardCharsets.UTF_8));
             }
-            for (String pair : question < 0 ? new String[0] : target.substring(question + 1).split("&")) {
+            for (String pair : queryStart < 0 ? new String[0] : target.substring(queryStart + 1).split("&")) {
                 String[] parts = pair.split("=", 2);
                 query.put(URLDecoder.decode(parts[0], StandardCharsets.UTF_8),
                     parts.length < 2 ? "" : URLDecoder.decode(parts[1], StandardCharsets.UTF_8));
             }
         } catch (IllegalArgumentException e) {
-            then.accept(AdminResponse.problem(400, "the target is malformed"));
+            callback.accept(AdminResponse.problem(400, "the target is malformed"));
             return;
         }
         Resource resource = path.size() < 2 || !path.get(0).equals("v1") ? null : resources.get(path.get(1));
         if (resource == null) {
-            then.accept(AdminResponse.problem(404, "there are /v1/" + String.join(", /v1/", resources.keySet())));
+            callback.accept(AdminResponse.problem(404, "there are /v1/" + String.join(", /v1/", resources.keySet())));
             return;
         }
         try {
             executor.execute(() -> {
-                // Joined here: a body of megabytes takes longer to copy than the event loop may stand still.
-                AdminResponse reply = execute(resource, new AdminRequest(method, List.copyOf(path.subList(2, path.size())), query,
-                    ifMatch, join(body)));
-                loop.execute(() -> then.accept(reply));
+                // Joined on this thread: copying a body of megabytes would block the event loop for too long.
+                AdminResponse response = execute(resource, new AdminRequest(method,
+                    List.copyOf(path.subList(2, path.size())), query, ifMatch, join(body)));
+                loop.execute(() -> callback.accept(response));
             });
         } catch (RejectedExecutionException e) {
-            then.accept(AdminResponse.problem(503, "too many calls wait"));
+            callback.accept(AdminResponse.problem(503, "too many calls wait"));
         }
     }
 
     private static byte[] join(List<byte[]> pieces) {
-        ByteArrayOutputStream whole = new ByteArrayOutputStream(pieces.stream().mapToInt(p -> p.length).sum());
-        pieces.forEach(whole::writeBytes);
-        return whole.toByteArray();
+        ByteArrayOutputStream joined = new ByteArrayOutputStream(pieces.stream().mapToInt(piece -> piece.length).sum());
+        pieces.forEach(joined::writeBytes);
+        return joined.toByteArray();
     }
 
-    private static AdminResponse execute(Resource resource, AdminRequest call) {
+    private static AdminResponse execute(Resource resource, AdminRequest request) {
         try {
-            return resource.handle(call);
+            return resource.handle(request);
         } catch (Exception | StackOverflowError e) {
-            Logger.error(e, "exception in an admin call");
+            Logger.error(e, "Exception while handling an admin request");
             return AdminResponse.problem(500, "the call failed; the log says why");
         } catch (OutOfMemoryError e) {
             return AdminResponse.problem(507, "there is not enough memory for it");
         }
     }
 
-    static io.netty.buffer.ByteBuf encode(AdminResponse reply, boolean keepAlive) {
-        return MessageEncoder.response(reply.status(), reply.status() < 300 ? "OK" : "Refused", reply.headers(), reply.body(),
-            keepAlive);
+    static io.netty.buffer.ByteBuf encode(AdminResponse response, boolean keepAlive) {
+        return MessageEncoder.response(response.status(), response.status() < 300 ? "OK" : "Refused", response.headers(),
+            response.body(), keepAlive);
     }
 }
--- a/src/main/java/badgermux/admin/Resource.java
+++ b/src/main/java/badgermux/admin/Resource.java
@@ -1,7 +1,7 @@
 package badgermux.admin;
 
-/** A subsystem's part of the admin API, under {@code /v1/NAME}. */
+/** The part of the admin API under {@code /v1/NAME} that one subsystem handles. */
 public interface Resource {
-    /** Carries a call out; on the admin thread, which may block. */
-    AdminResponse handle(AdminRequest call) throws Exception;
+    /** Handles a request. Called on the admin thread, which may block. */
+    AdminResponse handle(AdminRequest request) throws Exception;
 }
--- a/src/main/java/badgermux/admin/package-info.java
+++ b/src/main/java/badgermux/admin/package-info.java
@@ -1,2 +1,2 @@
-/** The admin API: its listener, and the thread on which its calls are carried out one after another. */
+/** The HTTP server of the admin API, and the thread on which its requests are handled one after another. */
 package badgermux.admin;
--- a/src/main/java/badgermux/cli/Commands.java
+++ b/src/main/java/badgermux/cli/Commands.java
@@ -10,18 +10,20 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** The whole command line. */
+/** The command line: its top-level command and all subcommands but {@code contract}. */
 @Command(name = "badgermux", mixinStandardHelpOptions = true, versionProvider = Commands.VersionProvider.class,
-    description = "A broker between the services of many teams.",
+    description = "A request dispatcher between the services of many teams.",
     subcommands = {Commands.Serve.class, Commands.Drill.class, ContractCommand.class, Commands.Completion.class})
 public final class Commands implements Callable<Integer> {
-    /** What {@code serve} may be told beside its environment; null where it is not told. */
+    /** The options of {@code serve}; null for those not given. */
     public record ServeOptions(String admin, String adminTokenFile, String snapshot) { }
 
-    /** Starts the program; the exit status, or -1 where it goes on in threads of its own. */
+    /** Runs the commands that are not implemented here. Methods return the exit status. */
     public interface Launcher {
+        /** Runs a dispatcher until SIGTERM. */
         int serve(ServeOptions options) throws Exception;
 
+        /** Runs the decision module for the simulator. */
         int drill() throws Exception;
     }
 
@@ -33,20 +35,20 @@
         this.launcher = starter;
     }
 
-    /** Runs a command line and returns its exit status; 2 for one that makes no sense. */
+    /** Runs a command line and returns its exit status; 2 if it is invalid or the command fails with an exception. */
     public static int run(String[] arguments, Launcher starter) {
-        return new CommandLine(new Commands(starter)).setExecutionExceptionHandler((e, line, result) -> {
-            String why = e.getMessage() == null ? e.toString() : e.getMessage();
-            line.getErr().println(e instanceof DescriptionException ? why : "badgermux: " + why);
+        return new CommandLine(new Commands(starter)).setExecutionExceptionHandler((e, commandLine, result) -> {
+            String message = e.getMessage() == null ? e.toString() : e.getMessage();
+            commandLine.getErr().println(e instanceof DescriptionException ? message : "badgermux: " + message);
             return 2;
         }).execute(arguments);
     }
 
     @Override public Integer call() {
-        throw new ParameterException(spec.commandLine(), "a command is missing");
+        throw new ParameterException(spec.commandLine(), "Missing required subcommand");
     }
 
-    /** Its version, as the build has set it in the jar. */
+    /** Reads the version that the build stores in the jar. */
     static final class VersionProvider implements CommandLine.IVersionProvider {
         @Override public String[] getVersion() {
             String version = Commands.class.getPackage().getImplementationVersion();
@@ -55,20 +57,20 @@
     }
 
     @Command(name = "serve", mixinStandardHelpOptions = true, versionProvider = VersionProvider.class,
-        description = "Serves as one dispatcher; GW_CONFIG names its configuration.")
+        description = "Runs a dispatcher; GW_CONFIG names its configuration file.")
     static final class Serve implements Callable<Integer> {
         @CommandLine.ParentCommand private Commands parent;
 
         @Option(names = "--admin", paramLabel = "HOST:PORT",
-            description = "Where the admin API listens; off where it is not given.")
+            description = "Address of the admin API, which is off by default.")
         private String admin;
 
         @Option(names = "--admin-token-file", paramLabel = "FILE",
-            description = "Holds the bearer token of the admin API; needed for any address that is not loopback.")
+            description = "File with the bearer token of the admin API; required unless its address is a loopback address.")
         private String adminTokenFile;
 
         @Option(names = "--snapshot", paramLabel = "FILE",
-            description = "Where what the admin API set is kept, and read at the start.")
+            description = "File that stores what is set through the admin API; read at startup.")
         private String snapshot;
 
         @Override public Integer call() throws Exception {
@@ -77,7 +79,7 @@
     }
 
     @Command(name = "drill", mixinStandardHelpOptions = true, versionProvider = VersionProvider.class,
-        description = "The decisions on the simulator's wire, on standard input and output.")
+        description = "Runs the decision module for the simulator, on standard input and output.")
     static final class Drill implements Callable<Integer> {
         @CommandLine.ParentCommand private Commands parent;
 
--- a/src/main/java/badgermux/cli/ContractCommand.java
+++ b/src/main/java/badgermux/cli/ContractCommand.java
@@ -32,15 +32,15 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** {@code contract}: descriptions checked, compared, and requests judged by them, without a dispatcher. */
+/** The command {@code contract}: checks and compares descriptions and validates requests, without a dispatcher. */
 @Command(name = "contract", mixinStandardHelpOptions = true, versionProvider = Commands.VersionProvider.class,
-    description = "Checks OpenAPI and AsyncAPI descriptions, and judges requests by them.",
+    description = "Checks OpenAPI and AsyncAPI descriptions, and validates requests against them.",
     subcommands = {ContractCommand.Check.class, ContractCommand.DiffCommand.class, ContractCommand.Judge.class})
 final class ContractCommand implements Callable<Integer> {
     @Spec private CommandSpec spec;
 
     @Override public Integer call() {
-        throw new ParameterException(spec.commandLine(), "a command is missing");
+        throw new ParameterException(spec.commandLine(), "Missing required subcommand");
     }
 
     private static Document readDocument(Path file) throws IOException, DescriptionException {
@@ -51,13 +51,13 @@
         }
     }
 
-    /** A file, and the further documents that it may refer to; the file's name without ending is the description's. */
-    private static ApiDescription compile(Path file, List<Path> with) throws IOException, DescriptionException {
-        List<Document> others = new ArrayList<>();
-        for (Path other : with) {
-            others.add(readDocument(other));
+    /** Compiles a file, which may refer to others; its name without extension is the name of the description. */
+    private static ApiDescription compile(Path file, List<Path> referencedFiles) throws IOException, DescriptionException {
+        List<Document> referenced = new ArrayList<>();
+        for (Path referencedFile : referencedFiles) {
+            referenced.add(readDocument(referencedFile));
         }
-        return ApiDescription.compile(descriptionName(file), readDocument(file), others);
+        return ApiDescription.compile(descriptionName(file), readDocument(file), referenced);
     }
 
     private static String descriptionName(Path file) {
@@ -65,13 +65,13 @@
     }
 
     @Command(name = "check", mixinStandardHelpOptions = true, versionProvider = Commands.VersionProvider.class,
-        description = "Reads descriptions, which may refer to each other, and prints what is wrong with them. "
-            + "Exit status 0: all can be used; 1: not; 2: a file can't be read.")
+        description = "Checks descriptions, which may refer to each other, and prints their problems. "
+            + "Exit status 0: all are valid; 1: at least one is not; 2: a file can't be read.")
     static final class Check implements Callable<Integer> {
         @Spec private CommandSpec spec;
         @Parameters(arity = "1..*", paramLabel = "FILE", description = "JSON or YAML documents.")
         private List<Path> files;
-        @Option(names = {"-q", "--quiet"}, description = "Prints faults only.")
+        @Option(names = {"-q", "--quiet"}, description = "Prints problems only.")
         private boolean quiet;
 
         @Override public Integer call() throws IOException {
@@ -117,7 +117,7 @@
     }
 
     @Command(name = "diff", mixinStandardHelpOptions = true, versionProvider = Commands.VersionProvider.class,
-        description = "Prints what NEW would refuse and OLD did not. Exit status 0: nothing; 1: something.")
+        description = "Prints breaking changes: what NEW refuses and OLD allows. Exit status 0: none; 1: at least one.")
     static final class DiffCommand implements Callable<Integer> {
         @Spec private CommandSpec spec;
         @Parameters(index = "0", paramLabel = "OLD") private Path oldFile;
@@ -128,7 +128,8 @@
 
         @Override public Integer call() throws IOException, DescriptionException {
             PrintWriter out = spec.commandLine().getOut();
-            List<DescriptionDiff.BreakingChange> changes = DescriptionDiff.breakingChanges(compile(oldFile, referencedFiles), compile(newFile, referencedFiles));
+            List<DescriptionDiff.BreakingChange> changes = DescriptionDiff.breakingChanges(
+                compile(oldFile, referencedFiles), compile(newFile, referencedFiles));
             changes.forEach(out::println);
             out.flush();
             return changes.isEmpty() ? 0 : 1;
@@ -136,8 +137,8 @@
     }
 
     @Command(name = "judge", mixinStandardHelpOptions = true, versionProvider = Commands.VersionProvider.class,
-        description = "Judges requests, one JSON object a line, and prints a verdict for each. "
-            + "Exit status 0: all conform; 1: not all; 2: something can't be read.")
+        description = "Validates requests, one JSON object per line, and prints a result for each. "
+            + "Exit status 0: all conform; 1: at least one does not; 2: an input can't be read.")
     static final class Judge implements Callable<Integer> {
         @Spec private CommandSpec spec;
         @Parameters(index = "0", paramLabel = "DESCRIPTION") private Path descriptionFile;
@@ -147,57 +148,57 @@
             description = "Further descriptions, and documents that they may refer to.")
         private List<Path> referencedFiles = List.of();
         @Option(names = "--undescribed", paramLabel = "refuse|pass", defaultValue = "refuse",
-            description = "What becomes of paths that are not described; default: ${DEFAULT-VALUE}.")
+            description = "How to treat paths that are not described; default: ${DEFAULT-VALUE}.")
         private Undescribed undescribed;
         @Option(names = "--format", paramLabel = "lines|problem", defaultValue = "lines",
-            description = "lines: a verdict a line; problem: the body that a client would get; default: "
+            description = "lines: one result per line; problem: the response body for clients; default: "
                 + "${DEFAULT-VALUE}.")
         private Format format;
 
-        /** What becomes of paths that are not described. */
+        /** How to treat paths that are not described. */
         enum Undescribed { refuse, pass }
 
-        /** How verdicts are printed. */
+        /** How results are printed. */
         enum Format { lines, problem }
 
         @Override public Integer call() throws IOException, DescriptionException {
-            List<ApiDescription> all = new ArrayList<>(List.of(compile(descriptionFile, referencedFiles)));
-            for (Path other : referencedFiles) {
-                if (readDocument(other).isDescription()) {
-                    all.add(compile(other, referencedFiles));
+            List<ApiDescription> descriptions = new ArrayList<>(List.of(compile(descriptionFile, referencedFiles)));
+            for (Path file : referencedFiles) {
+                if (readDocument(file).isDescription()) {
+                    descriptions.add(compile(file, referencedFiles));
                 }
             }
-            ContractSet contracts = ContractSet.of(0, all, undescribed == Undescribed.pass);
+            ContractSet contracts = ContractSet.of(0, descriptions, undescribed == Undescribed.pass);
             PrintWriter out = spec.commandLine().getOut();
-            boolean conform = true;
+            boolean allConform = true;
             try (BufferedReader lines = requestsFile.toString().equals("-")
                     ? new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8))
                     : Files.newBufferedReader(requestsFile)) {
-                int number = 0;
+                int lineNumber = 0;
                 for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-                    number++;
+                    lineNumber++;
                     if (!line.isBlank()) {
-                        ValidationResult verdict = contracts.validate(parseRequest(line, number)).result();
-                        conform &= verdict.conforms();
-                        out.println(formatVerdict(verdict));
+                        ValidationResult result = contracts.validate(parseRequest(line, lineNumber)).result();
+                        allConform &= result.conforms();
+                        out.println(formatResult(result));
                     }
                 }
             } finally {
                 out.flush();
             }
-            return conform ? 0 : 1;
+            return allConform ? 0 : 1;
         }
 
-        private String formatVerdict(ValidationResult verdict) {
-            if (verdict.conforms()) {
+        private String formatResult(ValidationResult result) {
+            if (result.conforms()) {
                 return "{\"conforms\":true}";
             }
-            return format == Format.problem ? new String(ProblemDetails.encode(verdict, 0), StandardCharsets.UTF_8)
-                : "{\"conforms\":false,\"status\":" + verdict.status() + ",\"faults\":" + ProblemDetails.faultArray(verdict)
+            return format == Format.problem ? new String(ProblemDetails.encode(result, 0), StandardCharsets.UTF_8)
+                : "{\"conforms\":false,\"status\":" + result.status() + ",\"faults\":" + ProblemDetails.faultArray(result)
                     + '}';
         }
 
-        private HttpRequest parseRequest(String line, int number) throws IOException {
+        private HttpRequest parseRequest(String line, int lineNumber) throws IOException {
             try {
                 JsonObject object = JsonParser.parseString(line).getAsJsonObject();
                 Map<String, List<String>> headers = new LinkedHashMap<>();
@@ -213,7 +214,7 @@
                     name -> headers.getOrDefault(name.toLowerCase(java.util.Locale.ROOT), List.of()), body);
             } catch (JsonParseException | IllegalStateException | IllegalArgumentException | NullPointerException
                     | ClassCastException | UnsupportedOperationException e) {
-                throw new IOException(requestsFile + ":" + number + ": no request");
+                throw new IOException(requestsFile + ":" + lineNumber + ": not a request");
             }
         }
 
--- a/src/main/java/badgermux/cli/package-info.java
+++ b/src/main/java/badgermux/cli/package-info.java
@@ -1,2 +1,5 @@
-/** The command line, but for the two plain commands that a start may not pay for. */
+/**
+ * The command line. {@code badgermux.Main} handles the two commands without options itself, because loading this package
+ * would slow down the start.
+ */
 package badgermux.cli;
--- a/src/main/java/badgermux/log/AsynchronousWriter.java
+++ b/src/main/java/badgermux/log/AsynchronousWriter.java
@@ -10,19 +10,20 @@
 import org.tinylog.writers.AbstractFormatPatternWriter;
 
 /**
- * Writes the log to standard error on a thread of its own. Guards against a log that nobody reads: the event loop would
- * wait for its pipe, and with it every client. Lines beyond {@link #MAX_QUEUED_LINES} that wait to be written are dropped, and how
- * many is told in their place.
+ * Writes the log to standard error on a separate thread. On the event loop, a write to a pipe that is not read would block all
+ * clients. Lines beyond {@link #MAX_QUEUED_LINES} in the queue are dropped; a line with their number is written instead.
  */
 public final class AsynchronousWriter extends AbstractFormatPatternWriter {
-    /** A list of a thousand runners, each with its line, fits twice over. */
+    /** Twice the lines that a list of a thousand backends causes. */
     static final int MAX_QUEUED_LINES = 2048;
 
     private static final ArrayBlockingQueue<String> QUEUE = new ArrayBlockingQueue<>(MAX_QUEUED_LINES);
-    private static final AtomicLong DROPPED = new AtomicLong(), QUEUED = new AtomicLong(), WRITTEN = new AtomicLong();
+    private static final AtomicLong DROPPED_COUNT = new AtomicLong();
+    private static final AtomicLong QUEUED_COUNT = new AtomicLong();
+    private static final AtomicLong WRITTEN_COUNT = new AtomicLong();
     private boolean threadStarted;
 
-    /** Made by tinylog. */
+    /** Called by tinylog. */
     public AsynchronousWriter(Map<String, String> properties) {
         super(properties);
     }
@@ -39,9 +40,9 @@
             thread.start();
         }
         if (QUEUE.offer(render(entry))) {
-            QUEUED.incrementAndGet();
+            QUEUED_COUNT.incrementAndGet();
         } else {
-            DROPPED.incrementAndGet();
+            DROPPED_COUNT.incrementAndGet();
         }
     }
 
@@ -49,29 +50,29 @@
         try {
             while (true) {
                 StringBuilder lines = new StringBuilder(QUEUE.take());
-                long taken = 1;
+                long lineCount = 1;
                 for (String line = QUEUE.poll(); line != null && lines.length() < 8192; line = QUEUE.poll()) {
                     lines.append(line);
-                    taken++;
+                    lineCount++;
                 }
-                long dropped = DROPPED.getAndSet(0);
+                long dropped = DROPPED_COUNT.getAndSet(0);
                 if (dropped > 0) {
-                    lines.append(dropped).append(" lines of the log were dropped: nobody read it\n");
+                    lines.append(dropped).append(" log lines dropped: standard error was not read in time\n");
                 }
                 System.err.print(lines);
                 System.err.flush();
-                WRITTEN.addAndGet(taken);
+                WRITTEN_COUNT.addAndGet(lineCount);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** Waits until what was logged so far is written, or for so many milliseconds: nobody may read it. */
-    public static void awaitWritten(long millis) throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
-        long all = QUEUED.get();
-        while (WRITTEN.get() < all && System.nanoTime() < until) {
+    /** Waits until all lines logged so far are written, at most for the timeout, since standard error may not be read. */
+    public static void awaitWritten(long timeoutMillis) throws InterruptedException {
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
+        long queued = QUEUED_COUNT.get();
+        while (WRITTEN_COUNT.get() < queued && System.nanoTime() < deadlineNanos) {
             TimeUnit.MILLISECONDS.sleep(1);
         }
     }
--- a/src/main/java/badgermux/log/package-info.java
+++ b/src/main/java/badgermux/log/package-info.java
@@ -1,2 +1,2 @@
-/** The log, written beside the event loop. */
+/** Writes the log without blocking the event loop. */
 package badgermux.log;
--- a/src/test/java/badgermux/arch/PackageDependenciesTest.java
+++ b/src/test/java/badgermux/arch/PackageDependenciesTest.java
@@ -21,8 +21,9 @@
     /** Decisions and contract validation depend only on what the caller passes in: bytes, events, times and random numbers. */
     @ArchTest static final ArchRule PURE_PACKAGES_DO_NO_IO = noClasses().that().resideInAnyPackage(PURE_PACKAGES)
         .should().dependOnClassesThat().resideInAnyPackage("io.netty..", "java.nio.file..", "java.nio.channels..",
-            "java.net.http..", "java.util.concurrent..", "org.tinylog..", "badgermux.core..", "badgermux.front..", "badgermux.backend..",
-            "badgermux.discovery..", "badgermux.config..", "badgermux.http..", "badgermux.admin..", "badgermux.gate..")
+            "java.net.http..", "java.util.concurrent..", "org.tinylog..", "badgermux.core..", "badgermux.front..",
+            "badgermux.backend..", "badgermux.discovery..", "badgermux.config..", "badgermux.http..",
+            "badgermux.admin..", "badgermux.gate..")
         .orShould().dependOnClassesThat().haveFullyQualifiedName("java.io.File")
         .orShould().dependOnClassesThat().haveFullyQualifiedName("java.lang.Thread")
         .allowEmptyShould(true);
