--- a/src/main/java/badgermux/LearnedStateStore.java
+++ b/src/main/java/badgermux/LearnedStateStore.java
@@ -14,9 +14,9 @@
 
 /**
  * Preserves the decision module's learned state across restarts, if there is a folder for it. The state is read at startup,
- * saved every two seconds in case the process is killed, and saved once more at exit. Without it, a fleet whose dispatchers
- * all restart at once would know no run time of any class and would send nothing to cold backends, as long as each
- * dispatcher gets about one request a second.
+ * saved every two seconds in case the process is killed, and saved once more at exit. Without it, if all dispatchers of a
+ * fleet restarted at once, none would know the run time of any class and none would send to cold backends, at a load of one
+ * request a second for each dispatcher.
  */
 final class LearnedStateStore {
     /** The interval between saves: a killed process loses at most what was learned in this time. */
--- a/src/main/java/badgermux/discovery/DiscoveryClient.java
+++ b/src/main/java/badgermux/discovery/DiscoveryClient.java
@@ -177,9 +177,9 @@
     }
 
     /**
-     * Sends a watch that timed out again at once, on another connection. A drain that the silent watch missed counts as told
-     * within a few seconds; after the pause that follows a failure, the response would come too late. A second timeout in a
-     * row is a failure.
+     * Repeats a watch that timed out, at once and on another connection. The dispatcher has to know of a drain within
+     * {@link WatchTiming#MAX_PROPAGATION_MICROS}, also if the silent watch missed it; after the pause that follows a failure,
+     * the response would come too late. A second timeout in a row is a failure.
      */
     private void onWatchTimeout() {
         if (recovering) {
@@ -233,8 +233,8 @@
     }
 
     /**
-     * Handles a response body. Whatever it holds, either the next watch starts or a failure is reported; otherwise nothing
-     * would watch the list any more.
+     * Handles a response body. Whatever it contains, either the next watch starts or a failure is reported; otherwise the
+     * list would not be watched any more.
      */
     private void handleResponse(String json) {
         try {
