--- a/src/main/java/badgermux/HandoverCoordinator.java
+++ b/src/main/java/badgermux/HandoverCoordinator.java
@@ -371,7 +371,7 @@
                 cordons.drainCold(Long.MAX_VALUE);
                 discovery.republishAll();
                 frontend.cancelHandover();
-                Logger.warn("The next process has ended or hangs, serving again");
+                Logger.warn("The next process has ended or hangs; this one serves again");
             }
             if (!shuttingDown) {
                 writeAddressFile();
