--- a/src/main/java/badgermux/gate/ContractResource.java
+++ b/src/main/java/badgermux/gate/ContractResource.java
@@ -3,13 +3,14 @@
 import badgermux.admin.AdminRequest;
 import badgermux.admin.AdminResponse;
 import badgermux.admin.Resource;
-import badgermux.contract.ContractSet;
 import badgermux.contract.ApiDescription;
-import badgermux.contract.DescriptionException;
+import badgermux.contract.ContractSet;
 import badgermux.contract.DescriptionDiff;
+import badgermux.contract.DescriptionException;
 import badgermux.contract.Document;
 import badgermux.contract.HttpRequest;
 import badgermux.contract.ValidationResult;
+import badgermux.metrics.Metrics;
 import badgermux.operator.SnapshotException;
 import badgermux.operator.SnapshotStore;
 import com.google.gson.JsonArray;
@@ -24,22 +25,34 @@
 import java.util.TreeMap;
 import java.util.concurrent.Callable;
 import java.util.concurrent.ExecutionException;
+import java.util.concurrent.Executor;
 import java.util.concurrent.ExecutorService;
 import java.util.regex.Pattern;
 import org.tinylog.Logger;
 
 /**
- * {@code /v1/contracts}: the descriptions in force, set and taken back one at a time. A change is compiled whole, told
- * against what is in force, kept and only then installed; one that can't be used changes nothing. Runs on the admin
- * thread.
+ * The admin resource {@code /v1/contracts}: lists the descriptions in force, and adds, replaces or removes them one at a
+ * time. A change is first compiled as a whole and compared with the contracts in force, then stored in the snapshot, and
+ * only then installed. A change that can't be used has no effect. Runs on the admin thread.
  */
 public final class ContractResource implements Resource {
-    /** The section of the snapshot. */
+    /** The name of this resource's section in the snapshot. */
     public static final String SECTION = "contracts";
-    private static final int SECTION_VERSION = 1, MAX_DESCRIPTIONS = 100, MAX_SAMPLES = 5;
+    /** The version of the section's format. */
+    private static final int SECTION_VERSION = 1;
+    private static final int MAX_DESCRIPTIONS = 100;
+    /** How many newly refused requests a report lists at most. */
+    private static final int MAX_SAMPLES = 5;
     private static final Pattern DESCRIPTION_NAME = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]{0,63}");
 
-    /** A description as it was set, and compiled; {@code revision} is the snapshot's at which that was done. */
+    /**
+     * A description as it was received, and compiled.
+     *
+     * @param main        the name of the document that holds the description
+     * @param documents   the texts of all documents, by name
+     * @param revision    the revision of the snapshot that stored it first
+     * @param description the compiled description
+     */
     private record StoredDescription(String main, Map<String, String> documents, long revision, ApiDescription description) { }
 
     private final SnapshotStore store;
@@ -50,14 +63,14 @@
     private ContractValidator contractValidator;
 
     /**
-     * Compiles what the snapshot holds.
+     * Compiles the descriptions in the snapshot.
      *
-     * @param loop runs work on the event loop
-     * @throws SnapshotException where it can't be used
+     * @param eventLoop runs tasks on the event loop
+     * @throws SnapshotException if the snapshot's section can't be used
      */
-    public ContractResource(SnapshotStore store, ExecutorService loop) throws SnapshotException {
+    public ContractResource(SnapshotStore store, ExecutorService eventLoop) throws SnapshotException {
         this.store = store;
-        this.eventLoop = loop;
+        this.eventLoop = eventLoop;
         JsonElement section = store.current().section(SECTION);
         try {
             if (section != null) {
@@ -76,19 +89,19 @@
             throw new SnapshotException("section " + SECTION + " was written by a newer program");
         }
         passesUndescribed = section.get("undescribed").getAsString().equals("pass");
-        for (Map.Entry<String, JsonElement> each : section.getAsJsonObject("descriptions").entrySet()) {
-            JsonObject from = each.getValue().getAsJsonObject();
+        for (Map.Entry<String, JsonElement> entry : section.getAsJsonObject("descriptions").entrySet()) {
+            JsonObject stored = entry.getValue().getAsJsonObject();
             Map<String, String> documents = new TreeMap<>();
-            from.getAsJsonObject("documents").entrySet()
+            stored.getAsJsonObject("documents").entrySet()
                 .forEach(document -> documents.put(document.getKey(), document.getValue().getAsString()));
-            descriptions.put(each.getKey(), compile(each.getKey(), from.get("main").getAsString(), documents,
-                from.get("revision").getAsLong()));
+            descriptions.put(entry.getKey(), compile(entry.getKey(), stored.get("main").getAsString(), documents,
+                stored.get("revision").getAsLong()));
         }
     }
 
-    /** The gate that judges by what is set here. */
-    public ContractValidator contractValidator(java.util.concurrent.Executor onLoop, badgermux.metrics.Metrics metrics) {
-        contractValidator = new ContractValidator(onLoop, metrics, contracts);
+    /** Creates the validator that applies the contracts of this resource. To be called once, before the first request. */
+    public ContractValidator contractValidator(Executor loopExecutor, Metrics metrics) {
+        contractValidator = new ContractValidator(loopExecutor, metrics, contracts);
         return contractValidator;
     }
 
@@ -97,92 +110,96 @@
         List<Document> others = new ArrayList<>();
         Document primary = null;
         for (Map.Entry<String, String> document : documents.entrySet()) {
-            Document read = Document.read(document.getKey(), document.getValue().getBytes(StandardCharsets.UTF_8));
+            Document parsed = Document.read(document.getKey(), document.getValue().getBytes(StandardCharsets.UTF_8));
             if (document.getKey().equals(main)) {
-                primary = read;
+                primary = parsed;
             } else {
-                others.add(read);
+                others.add(parsed);
             }
         }
         return new StoredDescription(main, documents, revision, ApiDescription.compile(name, primary, others));
     }
 
-    private static ContractSet combine(Map<String, StoredDescription> entries, boolean passes, long revision)
+    private static ContractSet combine(Map<String, StoredDescription> descriptions, boolean passesUndescribed, long revision)
             throws DescriptionException {
-        return ContractSet.of(revision, entries.values().stream().map(StoredDescription::description).toList(), passes);
+        return ContractSet.of(revision, descriptions.values().stream().map(StoredDescription::description).toList(),
+            passesUndescribed);
     }
 
-    @Override public AdminResponse handle(AdminRequest call) throws Exception {
-        if (call.path().isEmpty()) {
-            return switch (call.method()) {
+    @Override public AdminResponse handle(AdminRequest request) throws Exception {
+        if (request.path().isEmpty()) {
+            return switch (request.method()) {
                 case "GET" -> AdminResponse.json(200, overview());
-                case "PUT" -> putSettings(call);
+                case "PUT" -> putSettings(request);
                 default -> AdminResponse.problem(405, "GET or PUT");
             };
         }
-        String name = call.path().get(0);
-        if (call.path().size() > 1 || !DESCRIPTION_NAME.matcher(name).matches()) {
+        String name = request.path().get(0);
+        if (request.path().size() > 1 || !DESCRIPTION_NAME.matcher(name).matches()) {
             return AdminResponse.problem(404, "a description's name has letters, digits, '.', '_' and '-', 64 at most");
         }
-        StoredDescription known = descriptions.get(name);
-        if (call.method().equals("GET")) {
-            return known == null ? AdminResponse.problem(404, "there is no description of this name")
-                : AdminResponse.json(200, etagHeader(known.revision()), toJson(name, known));
+        StoredDescription existing = descriptions.get(name);
+        if (request.method().equals("GET")) {
+            return existing == null ? AdminResponse.problem(404, "there is no description of this name")
+                : AdminResponse.json(200, etagHeader(existing.revision()), toJson(name, existing));
         }
-        if (!call.method().equals("PUT") && !call.method().equals("DELETE")) {
+        if (!request.method().equals("PUT") && !request.method().equals("DELETE")) {
             return AdminResponse.problem(405, "GET, PUT or DELETE");
         }
-        AdminResponse refused = checkPrecondition(call, known);
-        if (refused != null) {
-            return refused;
+        AdminResponse preconditionFailure = checkPrecondition(request, existing);
+        if (preconditionFailure != null) {
+            return preconditionFailure;
         }
-        if (call.method().equals("DELETE")) {
-            Map<String, StoredDescription> next = new TreeMap<>(descriptions);
-            next.remove(name);
-            return applyChange(call, next, passesUndescribed, null, known, name);
+        if (request.method().equals("DELETE")) {
+            Map<String, StoredDescription> updated = new TreeMap<>(descriptions);
+            updated.remove(name);
+            return applyChange(request, updated, passesUndescribed, null, existing, name);
         }
-        return putDescription(call, name, known);
+        return putDescription(request, name, existing);
     }
 
     private static String etagHeader(long revision) {
         return "ETag: \"" + revision + "\"\r\n";
     }
 
-    /** Guards against an operator who overwrites what another has just set. */
-    private static AdminResponse checkPrecondition(AdminRequest call, StoredDescription known) {
-        if (known == null) {
-            return call.method().equals("DELETE") ? AdminResponse.problem(404, "there is no description of this name")
-                : call.ifMatch() != null ? AdminResponse.problem(412, "there is no description of this name yet") : null;
+    /**
+     * Checks If-Match, so that an operator can't overwrite another operator's change unseen. Returns null if the request may
+     * go on, else the response.
+     */
+    private static AdminResponse checkPrecondition(AdminRequest request, StoredDescription existing) {
+        if (existing == null) {
+            return request.method().equals("DELETE") ? AdminResponse.problem(404, "there is no description of this name")
+                : request.ifMatch() != null ? AdminResponse.problem(412, "there is no description of this name yet") : null;
         }
-        boolean dry = isDryRun(call);
-        if (call.ifMatch() == null) {
-            return dry ? null : AdminResponse.problem(428, "If-Match must name the revision that is to be replaced: \""
-                + known.revision() + '"');
+        boolean dryRun = isDryRun(request);
+        if (request.ifMatch() == null) {
+            return dryRun ? null : AdminResponse.problem(428, "If-Match must name the revision that is to be replaced: \""
+                + existing.revision() + '"');
         }
-        return call.ifMatch().equals("*") || call.ifMatch().equals('"' + String.valueOf(known.revision()) + '"') ? null
-            : AdminResponse.problem(412, "the description has changed; it is at revision " + known.revision());
+        return request.ifMatch().equals("*") || request.ifMatch().equals('"' + String.valueOf(existing.revision()) + '"') ? null
+            : AdminResponse.problem(412, "the description has changed; it is at revision " + existing.revision());
     }
 
-    private static boolean isDryRun(AdminRequest call) {
-        String dry = call.query().get("dry-run");
-        return dry != null && !dry.equals("false");
+    private static boolean isDryRun(AdminRequest request) {
+        String value = request.query().get("dry-run");
+        return value != null && !value.equals("false");
     }
 
-    private AdminResponse putDescription(AdminRequest call, String name, StoredDescription known) throws Exception {
-        if (known == null && descriptions.size() >= MAX_DESCRIPTIONS) {
+    private AdminResponse putDescription(AdminRequest request, String name, StoredDescription existing) throws Exception {
+        if (existing == null && descriptions.size() >= MAX_DESCRIPTIONS) {
             return AdminResponse.problem(409, "there are " + MAX_DESCRIPTIONS + " descriptions already");
         }
         Map<String, String> documents = new TreeMap<>();
         String main = name;
-        String text = new String(call.body(), StandardCharsets.UTF_8);
-        JsonObject wrapped = parseMultipleDocuments(text);
-        if (wrapped == null) {
+        String text = new String(request.body(), StandardCharsets.UTF_8);
+        JsonObject wrapper = parseMultipleDocuments(text);
+        if (wrapper == null) {
             documents.put(name, text);
         } else {
             try {
-                wrapped.getAsJsonObject("documents").entrySet()
+                wrapper.getAsJsonObject("documents").entrySet()
                     .forEach(document -> documents.put(document.getKey(), document.getValue().getAsString()));
-                main = wrapped.get("main").getAsString();
+                main = wrapper.get("main").getAsString();
             } catch (IllegalStateException | NullPointerException | ClassCastException
                     | UnsupportedOperationException e) {
                 return AdminResponse.problem(422, "documents must map names to texts, and main must name one of them");
@@ -191,18 +208,18 @@
                 return AdminResponse.problem(422, "main names no document: " + main);
             }
         }
-        StoredDescription made;
+        StoredDescription compiled;
         try {
-            made = compile(name, main, documents, store.current().revision() + 1);
+            compiled = compile(name, main, documents, store.current().revision() + 1);
         } catch (DescriptionException e) {
             return problemsReply("the description can't be used; nothing has changed", e);
         }
-        Map<String, StoredDescription> next = new TreeMap<>(descriptions);
-        next.put(name, made);
-        return applyChange(call, next, passesUndescribed, made, known, name);
+        Map<String, StoredDescription> updated = new TreeMap<>(descriptions);
+        updated.put(name, compiled);
+        return applyChange(request, updated, passesUndescribed, compiled, existing, name);
     }
 
-    /** Several documents in one JSON object; null where the text is a description itself. */
+    /** Parses a JSON object that holds several documents; returns null if the text is itself a description. */
     private static JsonObject parseMultipleDocuments(String text) {
         if (!text.stripLeading().startsWith("{") || !text.contains("\"documents\"")) {
             return null;
@@ -217,75 +234,83 @@
 
     private static AdminResponse problemsReply(String detail, DescriptionException e) {
         return AdminResponse.problem(422, detail, e.problems().stream().map(problem -> {
-            JsonObject each = new JsonObject();
-            each.addProperty("document", problem.document());
-            each.addProperty("line", problem.line());
-            each.addProperty("pointer", problem.pointer());
-            each.addProperty("reason", problem.reason());
-            return each;
+            JsonObject json = new JsonObject();
+            json.addProperty("document", problem.document());
+            json.addProperty("line", problem.line());
+            json.addProperty("pointer", problem.pointer());
+            json.addProperty("reason", problem.reason());
+            return json;
         }).toList());
     }
 
-    private AdminResponse putSettings(AdminRequest call) throws Exception {
-        String word;
+    private AdminResponse putSettings(AdminRequest request) throws Exception {
+        String undescribed;
         try {
-            word = JsonParser.parseString(new String(call.body(), StandardCharsets.UTF_8)).getAsJsonObject()
+            undescribed = JsonParser.parseString(new String(request.body(), StandardCharsets.UTF_8)).getAsJsonObject()
                 .get("undescribed").getAsString();
         } catch (RuntimeException e) {
-            word = "";
+            undescribed = "";
         }
-        if (!word.equals("pass") && !word.equals("refuse")) {
+        if (!undescribed.equals("pass") && !undescribed.equals("refuse")) {
             return AdminResponse.problem(422, "undescribed must be pass or refuse");
         }
-        return applyChange(call, descriptions, word.equals("pass"), null, null, null);
+        return applyChange(request, descriptions, undescribed.equals("pass"), null, null, null);
     }
 
-    /** Checks a change as a whole, reports on it and, unless it is a dry run, keeps and installs it. */
-    private AdminResponse applyChange(AdminRequest call, Map<String, StoredDescription> next, boolean passes, StoredDescription made, StoredDescription before, String name)
-            throws Exception {
+    /**
+     * Checks a change as a whole and reports its effects; unless it is a dry run, also stores and installs it.
+     *
+     * @param updated  all descriptions after the change
+     * @param compiled the added or replacing description; null for another change
+     * @param existing the replaced or removed description; null for another change
+     * @param name     the changed description; null if only the setting changes
+     */
+    private AdminResponse applyChange(AdminRequest request, Map<String, StoredDescription> updated, boolean passUndescribed,
+            StoredDescription compiled, StoredDescription existing, String name) throws Exception {
         long revision = store.current().revision() + 1;
-        ContractSet joined;
+        ContractSet combined;
         try {
-            joined = combine(next, passes, revision);
+            combined = combine(updated, passUndescribed, revision);
         } catch (DescriptionException e) {
             return problemsReply("it contradicts another description; nothing has changed", e);
         }
         JsonObject report = new JsonObject();
         report.addProperty("revision", revision);
-        report.addProperty("dryRun", isDryRun(call));
-        if (made != null) {
-            report.addProperty("kind", made.description().specification());
-            report.addProperty("routes", made.description().size());
-            report.add("warnings", toJsonStrings(made.description().warnings()));
+        report.addProperty("dryRun", isDryRun(request));
+        if (compiled != null) {
+            report.addProperty("kind", compiled.description().specification());
+            report.addProperty("routes", compiled.description().size());
+            report.add("warnings", toJsonStrings(compiled.description().warnings()));
         }
-        report.add("breaking", made == null || before == null ? new JsonArray()
-            : toJsonStrings(DescriptionDiff.breakingChanges(before.description(), made.description())));
-        report.add("recent", compareOnRecentRequests(joined));
-        if (!isDryRun(call)) {
-            descriptions.keySet().retainAll(next.keySet());
-            descriptions.putAll(next);
-            passesUndescribed = passes;
+        report.add("breaking", compiled == null || existing == null ? new JsonArray()
+            : toJsonStrings(DescriptionDiff.breakingChanges(existing.description(), compiled.description())));
+        report.add("recent", compareOnRecentRequests(combined));
+        if (!isDryRun(request)) {
+            descriptions.keySet().retainAll(updated.keySet());
+            descriptions.putAll(updated);
+            passesUndescribed = passUndescribed;
             boolean kept = store.replace(store.current().with(SECTION, toSection()));
-            contracts = joined;
+            contracts = combined;
             callOnEventLoop(() -> {
-                contractValidator.install(joined);
+                contractValidator.install(combined);
                 return null;
             });
             report.addProperty("kept", kept);
             Logger.info("contracts revision {}: {} descriptions, {} paths and channels{}", revision, descriptions.size(),
-                joined.size(), name == null ? "" : ", changed: " + name);
+                combined.size(), name == null ? "" : ", changed: " + name);
         }
-        return AdminResponse.json(made != null && before == null && !isDryRun(call) ? 201 : 200,
-            made == null || isDryRun(call) ? "" : etagHeader(revision), report);
+        return AdminResponse.json(compiled != null && existing == null && !isDryRun(request) ? 201 : 200,
+            compiled == null || isDryRun(request) ? "" : etagHeader(revision), report);
     }
 
+    /** Returns the section of the snapshot. */
     private JsonObject toSection() {
         JsonObject section = new JsonObject();
         section.addProperty("version", SECTION_VERSION);
         section.addProperty("undescribed", passesUndescribed ? "pass" : "refuse");
-        JsonObject all = new JsonObject();
-        descriptions.forEach((name, entry) -> all.add(name, toJson(name, entry)));
-        section.add("descriptions", all);
+        JsonObject stored = new JsonObject();
+        descriptions.forEach((name, entry) -> stored.add(name, toJson(name, entry)));
+        section.add("descriptions", stored);
         return section;
     }
 
@@ -299,51 +324,53 @@
         return detail;
     }
 
+    /** Returns the settings, a summary of each description, and the revisions in use. */
     private JsonObject overview() throws InterruptedException, ExecutionException {
         JsonObject overview = new JsonObject();
         overview.addProperty("revision", contracts.revision());
         overview.addProperty("undescribed", passesUndescribed ? "pass" : "refuse");
-        JsonArray all = new JsonArray();
+        JsonArray summaries = new JsonArray();
         descriptions.forEach((name, entry) -> {
-            JsonObject each = new JsonObject();
-            each.addProperty("name", name);
-            each.addProperty("kind", entry.description().specification());
-            each.addProperty("routes", entry.description().size());
-            each.addProperty("revision", entry.revision());
-            each.add("warnings", toJsonStrings(entry.description().warnings()));
-            all.add(each);
+            JsonObject json = new JsonObject();
+            json.addProperty("name", name);
+            json.addProperty("kind", entry.description().specification());
+            json.addProperty("routes", entry.description().size());
+            json.addProperty("revision", entry.revision());
+            json.add("warnings", toJsonStrings(entry.description().warnings()));
+            summaries.add(json);
         });
-        overview.add("descriptions", all);
-        JsonArray alive = new JsonArray();
+        overview.add("descriptions", summaries);
+        JsonArray activeRevisions = new JsonArray();
         callOnEventLoop(contractValidator::activeRevisions).forEach(revision -> {
-            JsonObject each = new JsonObject();
-            each.addProperty("revision", revision.revision());
-            each.addProperty("open", revision.openRequests());
-            alive.add(each);
+            JsonObject json = new JsonObject();
+            json.addProperty("revision", revision.revision());
+            json.addProperty("open", revision.openRequests());
+            activeRevisions.add(json);
         });
-        overview.add("alive", alive);
+        overview.add("alive", activeRevisions);
         return overview;
     }
 
-    private <T> T callOnEventLoop(Callable<T> work) throws InterruptedException, ExecutionException {
-        return eventLoop.submit(work).get();
+    /** Calls a task on the event loop and waits for its result. */
+    private <T> T callOnEventLoop(Callable<T> task) throws InterruptedException, ExecutionException {
+        return eventLoop.submit(task).get();
     }
 
-    private static JsonArray toJsonStrings(List<?> of) {
+    private static JsonArray toJsonStrings(List<?> values) {
         JsonArray strings = new JsonArray();
-        of.forEach(each -> strings.add(each.toString()));
+        values.forEach(value -> strings.add(value.toString()));
         return strings;
     }
 
-    /** The last requests, judged by what is in force and by what would be. */
-    private JsonObject compareOnRecentRequests(ContractSet next) throws InterruptedException, ExecutionException {
+    /** Validates the recent requests against the contracts in force and against the candidate, and reports the differences. */
+    private JsonObject compareOnRecentRequests(ContractSet candidate) throws InterruptedException, ExecutionException {
         int refused = 0;
         int allowed = 0;
         JsonArray samples = new JsonArray();
         List<HttpRequest> requests = callOnEventLoop(contractValidator::recentRequests);
         for (HttpRequest request : requests) {
             ValidationResult before = contracts.validate(request).result();
-            ValidationResult after = next.validate(request).result();
+            ValidationResult after = candidate.validate(request).result();
             allowed += !before.conforms() && after.conforms() ? 1 : 0;
             if (before.conforms() && !after.conforms()) {
                 refused++;
--- a/src/main/java/badgermux/gate/ContractValidator.java
+++ b/src/main/java/badgermux/gate/ContractValidator.java
@@ -2,8 +2,8 @@
 
 import badgermux.contract.ContractSet;
 import badgermux.contract.Fault;
-import badgermux.contract.ProblemDetails;
 import badgermux.contract.HttpRequest;
+import badgermux.contract.ProblemDetails;
 import badgermux.contract.StepLimitException;
 import badgermux.contract.ValidationResult;
 import badgermux.front.RequestValidator;
@@ -19,21 +19,24 @@
 import java.util.concurrent.ThreadPoolExecutor;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
+import java.util.function.Supplier;
 import org.tinylog.Logger;
 
 /**
- * Judges requests by the contracts in force, and answers by those that took their request. What is small is judged on the
- * event loop, within few steps; what is large, or proves costly, on threads of its own, so that nobody else waits for
- * it. All calls come from the event loop.
+ * Validates requests against the contracts in force, and each response against the contracts that accepted its request.
+ * Small bodies are validated on the event loop within a small step limit. Large bodies, and those that exceed this limit,
+ * are validated in a thread pool so that they don't delay other requests. All methods are called on the event loop.
  */
 public final class ContractValidator implements RequestValidator {
-    /** The longest body, in bytes, that the event loop judges itself. */
+    /** The longest body, in bytes, that is validated on the event loop. */
     static final int MAX_EVENT_LOOP_BODY_BYTES = 2 << 10;
-    /** So many wait for a judge at most; one more is told to come back. */
-    private static final int MAX_QUEUED_VALIDATIONS = 256, VALIDATION_THREADS = 2;
+    /** The longest queue in front of the thread pool. A request beyond it is refused as an overload, to be retried later. */
+    private static final int MAX_QUEUED_VALIDATIONS = 256;
+    private static final int VALIDATION_THREADS = 2;
+    /** Bounds the log output that a backend with invalid responses can cause. */
     private static final int MAX_LOGGED_FAULTS = 20;
 
-    /** A set of contracts and the requests that it took and that are not answered yet. */
+    /** A set of contracts, and the number of requests that it accepted and that have no final answer yet. */
     private static final class Revision {
         private final ContractSet contracts;
         private int openRequests;
@@ -43,27 +46,28 @@
         }
     }
 
-    /** What operators see of a revision: its number, and how many of its requests wait for their answer. */
+    /** The number of a revision, and how many of its requests have no final answer yet, for the admin API. */
     public record RevisionStatus(long revision, int openRequests) { }
 
     private final Executor eventLoop;
     private final Metrics metrics;
     private final ThreadPoolExecutor validationPool;
     private final RecentRequests recentRequests = new RecentRequests();
-    /** Those that were replaced and still have requests. */
+    /** Replaced revisions that still have open requests. */
     private final List<Revision> retiredRevisions = new ArrayList<>();
     private Revision current;
     private int loggedFaults;
 
-    /** {@code loop} runs what it is given on the event loop. */
-    public ContractValidator(Executor loop, Metrics metrics, ContractSet first) {
-        this.eventLoop = loop;
+    /** {@code eventLoop} runs tasks on the event loop. */
+    public ContractValidator(Executor eventLoop, Metrics metrics, ContractSet initial) {
+        this.eventLoop = eventLoop;
         this.metrics = metrics;
-        current = new Revision(first);
-        validationPool = new ThreadPoolExecutor(VALIDATION_THREADS, VALIDATION_THREADS, 10, TimeUnit.SECONDS, new ArrayBlockingQueue<>(MAX_QUEUED_VALIDATIONS),
-            work -> {
-                // Guards against a value nested as deep as it may be, under a schema that is.
-                Thread thread = new Thread(null, work, "judge", 4 << 20);
+        current = new Revision(initial);
+        validationPool = new ThreadPoolExecutor(VALIDATION_THREADS, VALIDATION_THREADS, 10, TimeUnit.SECONDS,
+            new ArrayBlockingQueue<>(MAX_QUEUED_VALIDATIONS),
+            task -> {
+                // A value and a schema that are both nested as deep as allowed could overflow the default stack.
+                Thread thread = new Thread(null, task, "contract-validation", 4 << 20);
                 thread.setDaemon(true);
                 return thread;
             });
@@ -72,7 +76,7 @@
         metrics.registerGauge("contract_revisions_alive", () -> activeRevisions().size());
     }
 
-    /** Puts contracts in force: what comes from now on is judged by them. */
+    /** Puts contracts in force for all requests that arrive from now on. */
     public void install(ContractSet next) {
         if (current.openRequests > 0) {
             retiredRevisions.add(current);
@@ -80,23 +84,24 @@
         current = new Revision(next);
     }
 
-    /** The revisions that still judge something; the one in force comes last. */
+    /** Returns the revisions that are in use, oldest first; the last one is in force. */
     public List<RevisionStatus> activeRevisions() {
-        List<RevisionStatus> alive = new ArrayList<>();
-        retiredRevisions.forEach(revision -> alive.add(new RevisionStatus(revision.contracts.revision(), revision.openRequests)));
-        alive.add(new RevisionStatus(current.contracts.revision(), current.openRequests));
-        return alive;
+        List<RevisionStatus> statuses = new ArrayList<>();
+        retiredRevisions.forEach(revision ->
+            statuses.add(new RevisionStatus(revision.contracts.revision(), revision.openRequests)));
+        statuses.add(new RevisionStatus(current.contracts.revision(), current.openRequests));
+        return statuses;
     }
 
-    /** The last requests that were judged. */
+    /** Returns the most recently validated requests, oldest first. */
     public List<HttpRequest> recentRequests() {
         return recentRequests.all();
     }
 
-    @Override public void validate(String method, String target, MessageHead head, byte[] body, Callback answer) {
-        Revision by = current;
-        if (by.contracts.descriptions().isEmpty()) {
-            answer.onAccepted(null);
+    @Override public void validate(String method, String target, MessageHead head, byte[] body, Callback callback) {
+        Revision revision = current;
+        if (revision.contracts.descriptions().isEmpty()) {
+            callback.onAccepted(null);
             return;
         }
         HttpRequest request = new HttpRequest(method, target, head::values, body);
@@ -104,67 +109,74 @@
         metrics.increment(Count.CONTRACT_JUDGED);
         if (body.length <= MAX_EVENT_LOOP_BODY_BYTES) {
             try {
-                respond(by, by.contracts.validateQuickly(request), answer);
+                respond(revision, revision.contracts.validateQuickly(request), callback);
                 return;
             } catch (StepLimitException e) {
-                // judged apart, below
+                // validated in the thread pool, below
             } catch (RuntimeException e) {
-                refuseWithServerError(e, answer);
+                refuseWithServerError(e, callback);
                 return;
             }
         }
         metrics.increment(Count.CONTRACT_JUDGED_APART);
-        runInPool(() -> by.contracts.validate(request), judged -> respond(by, judged, answer), e -> refuseWithServerError(e, answer), answer::onOverloaded);
+        runInPool(() -> revision.contracts.validate(request), validation -> respond(revision, validation, callback),
+            e -> refuseWithServerError(e, callback), callback::onOverloaded);
     }
 
-    /** Has something judged by another thread and the outcome told on the event loop. */
-    private <T> void runInPool(java.util.function.Supplier<T> work, Consumer<T> then, Consumer<Throwable> failed,
-            Runnable busy) {
+    /**
+     * Runs a task in the thread pool and reports its outcome on the event loop; {@code onRejected} runs at once if the queue is
+     * full.
+     */
+    private <T> void runInPool(Supplier<T> task, Consumer<T> onSuccess, Consumer<Throwable> onFailure,
+            Runnable onRejected) {
         try {
             validationPool.execute(() -> {
                 try {
-                    T done = work.get();
-                    eventLoop.execute(() -> then.accept(done));
+                    T outcome = task.get();
+                    eventLoop.execute(() -> onSuccess.accept(outcome));
                 } catch (RuntimeException | StackOverflowError e) {
-                    eventLoop.execute(() -> failed.accept(e));
+                    eventLoop.execute(() -> onFailure.accept(e));
                 }
             });
         } catch (RejectedExecutionException e) {
             metrics.increment(Count.CONTRACT_BUSY);
-            busy.run();
+            onRejected.run();
         }
     }
 
-    private void respond(Revision by, ContractSet.RequestValidation judged, Callback answer) {
-        ValidationResult verdict = judged.result();
-        if (verdict.conforms()) {
-            answer.onAccepted(judged.responseValidator() == null ? null : new RevisionResponseContract(by, judged.responseValidator()));
+    /** Reports the result of a validation to the callback; a refusal has a problem document as its body. */
+    private void respond(Revision revision, ContractSet.RequestValidation validation, Callback callback) {
+        ValidationResult result = validation.result();
+        if (result.conforms()) {
+            callback.onAccepted(validation.responseValidator() == null ? null
+                : new RevisionResponseContract(revision, validation.responseValidator()));
             return;
         }
         metrics.increment(Count.CONTRACT_REFUSED);
-        String more = verdict.status() == 405 ? "Allow: " + verdict.allowed() + "\r\n"
-            : verdict.status() == 415 ? "Accept-Post: " + verdict.allowed() + "\r\n" : "";
-        answer.onRejected(verdict.status(), ProblemDetails.title(verdict.status()),
-            "Content-Type: application/problem+json\r\n" + more, ProblemDetails.encode(verdict, by.contracts.revision()));
+        String extraHeaders = result.status() == 405 ? "Allow: " + result.allowed() + "\r\n"
+            : result.status() == 415 ? "Accept-Post: " + result.allowed() + "\r\n" : "";
+        callback.onRejected(result.status(), ProblemDetails.title(result.status()),
+            "Content-Type: application/problem+json\r\n" + extraHeaders,
+            ProblemDetails.encode(result, revision.contracts.revision()));
     }
 
-    /** An exception ends its request, never the process. */
-    private void refuseWithServerError(Throwable e, Callback answer) {
+    /** Refuses a request whose validation threw an exception; the process goes on. */
+    private void refuseWithServerError(Throwable cause, Callback callback) {
         metrics.increment(Count.EXCEPTIONS);
-        Logger.error(e, "exception while a request was judged");
-        answer.onRejected(500, "Internal Server Error", "", new byte[0]);
+        Logger.error(cause, "Exception while validating a request");
+        callback.onRejected(500, "Internal Server Error", "", new byte[0]);
     }
 
-    /** The terms of a request that was taken: its revision lives until it is over. */
+    /** The response contract of an accepted request. Its revision stays in use until {@link #release}. */
     private final class RevisionResponseContract implements ResponseContract {
         private final Revision revision;
         private final ContractSet.ResponseValidator responseValidator;
-        private boolean over;
+        private boolean isReleased;
 
-        RevisionResponseContract(Revision by, ContractSet.ResponseValidator terms) {
-            this.revision = by;
-            this.responseValidator = terms;
-            by.openRequests++;
+        RevisionResponseContract(Revision revision, ContractSet.ResponseValidator responseValidator) {
+            this.revision = revision;
+            this.responseValidator = responseValidator;
+            revision.openRequests++;
         }
 
         @Override public LineValidator lineValidator(MessageHead head) {
@@ -173,7 +185,7 @@
                 Fault fault = lines.validate(line);
                 if (fault != null) {
                     metrics.increment(Count.CONTRACT_LINES_BAD);
-                    logFault("a backend's line", fault);
+                    logFault("Backend response line", fault);
                 }
                 return fault == null;
             };
@@ -184,20 +196,21 @@
                 usable.accept(true);
                 return;
             }
-            // A result that can't be judged for want of room is served: the backend has done its work.
+            // If the queue is full, the result is served without validation, as the backend has already done the work.
             runInPool(() -> firstFault(result), fault -> {
                 if (fault != null) {
                     metrics.increment(Count.CONTRACT_RESULTS_BAD);
-                    logFault("a backend's result", fault);
+                    logFault("Backend result", fault);
                 }
                 usable.accept(fault == null || !responseValidator.rejectsInvalidResults());
             }, e -> {
                 metrics.increment(Count.EXCEPTIONS);
-                Logger.error(e, "exception while a result was judged");
+                Logger.error(e, "Exception while validating a result");
                 usable.accept(!responseValidator.rejectsInvalidResults());
             }, () -> usable.accept(true));
         }
 
+        /** Returns the first fault of a result; null if there is none or the step limit is exceeded. */
         private Fault firstFault(byte[] result) {
             try {
                 return responseValidator.validateResult(result);
@@ -207,8 +220,8 @@
         }
 
         @Override public void release() {
-            if (!over) {
-                over = true;
+            if (!isReleased) {
+                isReleased = true;
                 revision.openRequests--;
                 if (revision.openRequests == 0 && revision != current) {
                     retiredRevisions.remove(revision);
@@ -217,12 +230,12 @@
         }
     }
 
-    /** Guards against a log that a broken backend fills. */
-    private void logFault(String what, Fault fault) {
+    /** Logs a fault of a response; only the first {@link #MAX_LOGGED_FAULTS} are logged. */
+    private void logFault(String source, Fault fault) {
         if (loggedFaults < MAX_LOGGED_FAULTS) {
             loggedFaults++;
-            Logger.warn("{} does not conform: {} {}: {}{}", what, fault.pointer(), fault.keyword(), fault.message(),
-                loggedFaults == MAX_LOGGED_FAULTS ? " (no more of these are told)" : "");
+            Logger.warn("{} violates its contract: {} {}: {}{}", source, fault.pointer(), fault.keyword(), fault.message(),
+                loggedFaults == MAX_LOGGED_FAULTS ? " (further violations are not logged)" : "");
         }
     }
 }
--- a/src/main/java/badgermux/gate/RecentRequests.java
+++ b/src/main/java/badgermux/gate/RecentRequests.java
@@ -4,10 +4,11 @@
 import java.util.ArrayDeque;
 import java.util.List;
 
-/** The last requests that were judged, bounded in number and bytes. */
+/** The most recently validated requests, bounded in number and in bytes. Requests with large bodies are left out. */
 final class RecentRequests {
     static final int MAX_REQUESTS = 200;
-    private static final int MAX_BODY_BYTES = 8 << 10, MAX_TOTAL_BYTES = 512 << 10;
+    private static final int MAX_BODY_BYTES = 8 << 10;
+    private static final int MAX_TOTAL_BYTES = 512 << 10;
 
     private final ArrayDeque<HttpRequest> requests = new ArrayDeque<>();
     private int totalBytes;
@@ -23,6 +24,7 @@
         }
     }
 
+    /** Returns a copy of the requests, oldest first. */
     List<HttpRequest> all() {
         return List.copyOf(requests);
     }
--- a/src/main/java/badgermux/gate/ZoneResource.java
+++ b/src/main/java/badgermux/gate/ZoneResource.java
@@ -16,6 +16,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.ExecutionException;
@@ -23,12 +24,14 @@
 import java.util.function.LongSupplier;
 
 /**
- * {@code /v1/zones}: what is held of each zone, and the settings. These count from the next start on: what a dispatcher
- * has learnt of zones rests on them. Runs on the admin thread.
+ * The admin resource {@code /v1/zones}: shows the state of each zone, and shows or changes the settings. A changed setting
+ * takes effect at the next start, because what a dispatcher has learned about zones depends on the settings. Runs on the
+ * admin thread.
  */
 public final class ZoneResource implements Resource {
-    /** The section of the snapshot. */
+    /** The name of this resource's section in the snapshot. */
     public static final String SECTION = "zones";
+    /** The version of the section's format. */
     private static final int SECTION_VERSION = 1;
     private static final Set<String> SETTING_KEYS = Set.of("openAt", "closeAt", "degradedAt", "darkAt", "leastNodes",
         "evidenceForMs", "spillShare", "spillLeaves", "spillReserve", "holdMs", "longestHoldMs", "forgetsAfterMs", "stageMs",
@@ -41,16 +44,28 @@
     private DispatchPolicy.Settings dispatchSettings;
     private ZonePolicy zonePolicy;
 
-    public ZoneResource(SnapshotStore store, ExecutorService loop, LongSupplier clock) {
+    /**
+     * Creates the resource.
+     *
+     * @param eventLoop   runs tasks on the event loop
+     * @param clockMicros the event loop's clock, in microseconds
+     */
+    public ZoneResource(SnapshotStore store, ExecutorService eventLoop, LongSupplier clockMicros) {
         this.store = store;
-        this.eventLoop = loop;
-        this.clockMicros = clock;
+        this.eventLoop = eventLoop;
+        this.clockMicros = clockMicros;
     }
 
-    /** The policy by what the snapshot holds; null where zones are off. */
-    public ZonePolicy zonePolicy(List<String> names, DispatchPolicy.Settings module) throws SnapshotException {
+    /**
+     * Creates the zone policy from the settings in the snapshot; returns null if it holds none, and zones are off.
+     *
+     * @param names    the names of all zones
+     * @param settings the settings of the dispatch policy
+     * @throws SnapshotException if the snapshot's section can't be used
+     */
+    public ZonePolicy zonePolicy(List<String> names, DispatchPolicy.Settings settings) throws SnapshotException {
         zoneNames = names;
-        dispatchSettings = module;
+        dispatchSettings = settings;
         JsonElement section = store.current().section(SECTION);
         if (section == null) {
             return null;
@@ -69,61 +84,65 @@
         }
     }
 
-    /** Reads settings; what makes no sense is told by the key that says it. */
-    private ZoneSettings parseSettings(JsonObject from) {
-        ZoneSettings s = new ZoneSettings();
-        s.zoneNames = zoneNames;
-        s.ownZone = dispatchSettings.ownZone;
-        s.dispatcherCount = dispatchSettings.dispatcherCount;
-        s.dispatcherIndex = dispatchSettings.dispatcherIndex;
-        s.classWorths = dispatchSettings.classes.stream().mapToDouble(DispatchPolicy.RequestClass::worth).toArray();
-        s.warmUpMicros = dispatchSettings.warmUpMicros;
-        s.coldCapacityShare = dispatchSettings.coldCapacityShare;
-        s.overloadMultiple = dispatchSettings.overloadMultiple;
-        s.overloadWindowMicros = dispatchSettings.overloadWindowMicros;
-        for (Map.Entry<String, JsonElement> entry : from.entrySet()) {
+    /**
+     * Parses settings.
+     *
+     * @throws IllegalArgumentException if a key is unknown or a value invalid; the message names the key
+     */
+    private ZoneSettings parseSettings(JsonObject json) {
+        ZoneSettings settings = new ZoneSettings();
+        settings.zoneNames = zoneNames;
+        settings.ownZone = dispatchSettings.ownZone;
+        settings.dispatcherCount = dispatchSettings.dispatcherCount;
+        settings.dispatcherIndex = dispatchSettings.dispatcherIndex;
+        settings.classWorths = dispatchSettings.classes.stream().mapToDouble(DispatchPolicy.RequestClass::worth).toArray();
+        settings.warmUpMicros = dispatchSettings.warmUpMicros;
+        settings.coldCapacityShare = dispatchSettings.coldCapacityShare;
+        settings.overloadMultiple = dispatchSettings.overloadMultiple;
+        settings.overloadWindowMicros = dispatchSettings.overloadWindowMicros;
+        for (Map.Entry<String, JsonElement> entry : json.entrySet()) {
             if (!SETTING_KEYS.contains(entry.getKey())) {
                 throw new IllegalArgumentException(entry.getKey() + " is no setting of zones");
             }
             try {
-                applySetting(s, entry.getKey(), entry.getValue());
+                applySetting(settings, entry.getKey(), entry.getValue());
             } catch (IllegalStateException | NumberFormatException | UnsupportedOperationException | ClassCastException e) {
                 throw new IllegalArgumentException(entry.getKey() + " has a value of the wrong kind");
             }
         }
-        return s.validated();
+        return settings.validated();
     }
 
-    private void applySetting(ZoneSettings s, String key, JsonElement value) {
+    private void applySetting(ZoneSettings settings, String key, JsonElement value) {
         switch (key) {
-            case "openAt" -> s.nextTierOpenShare = value.getAsDouble();
-            case "closeAt" -> s.nextTierCloseShare = value.getAsDouble();
-            case "degradedAt" -> s.degradedShare = value.getAsDouble();
-            case "darkAt" -> s.darkShare = value.getAsDouble();
-            case "leastNodes" -> s.minSilentBackends = value.getAsInt();
-            case "evidenceForMs" -> s.evidenceWindowMicros = millisToMicros(value);
-            case "spillShare" -> s.maxSpillShare = value.getAsDouble();
-            case "spillLeaves" -> s.spillHeadroomShare = value.getAsDouble();
-            case "spillReserve" -> s.spillReserveShare = value.getAsDouble();
-            case "holdMs" -> s.initialHoldMicros = millisToMicros(value);
-            case "longestHoldMs" -> s.maxHoldMicros = millisToMicros(value);
-            case "forgetsAfterMs" -> s.lossMemoryMicros = millisToMicros(value);
-            case "stageMs" -> s.minStageMicros = millisToMicros(value);
-            case "learnsForMs" -> s.learningMicros = millisToMicros(value);
-            case "coldForMs" -> s.warmUpMicros = millisToMicros(value);
-            case "slotsPerNode" -> s.defaultSlotsPerBackend = value.getAsDouble();
+            case "openAt" -> settings.nextTierOpenShare = value.getAsDouble();
+            case "closeAt" -> settings.nextTierCloseShare = value.getAsDouble();
+            case "degradedAt" -> settings.degradedShare = value.getAsDouble();
+            case "darkAt" -> settings.darkShare = value.getAsDouble();
+            case "leastNodes" -> settings.minSilentBackends = value.getAsInt();
+            case "evidenceForMs" -> settings.evidenceWindowMicros = millisToMicros(value);
+            case "spillShare" -> settings.maxSpillShare = value.getAsDouble();
+            case "spillLeaves" -> settings.spillHeadroomShare = value.getAsDouble();
+            case "spillReserve" -> settings.spillReserveShare = value.getAsDouble();
+            case "holdMs" -> settings.initialHoldMicros = millisToMicros(value);
+            case "longestHoldMs" -> settings.maxHoldMicros = millisToMicros(value);
+            case "forgetsAfterMs" -> settings.lossMemoryMicros = millisToMicros(value);
+            case "stageMs" -> settings.minStageMicros = millisToMicros(value);
+            case "learnsForMs" -> settings.learningMicros = millisToMicros(value);
+            case "coldForMs" -> settings.warmUpMicros = millisToMicros(value);
+            case "slotsPerNode" -> settings.defaultSlotsPerBackend = value.getAsDouble();
             case "guardsList" -> {
                 if (!value.getAsJsonPrimitive().isBoolean()) {
                     throw new IllegalStateException();
                 }
-                s.keepsUnlistedBackends = value.getAsBoolean();
+                settings.keepsUnlistedBackends = value.getAsBoolean();
             }
             case "stages" -> {
                 JsonArray list = value.getAsJsonArray();
-                s.returnStageShares = new double[list.size()];
-                Arrays.setAll(s.returnStageShares, i -> list.get(i).getAsDouble());
+                settings.returnStageShares = new double[list.size()];
+                Arrays.setAll(settings.returnStageShares, i -> list.get(i).getAsDouble());
             }
-            default -> s.tiersByClass = parseTiers(value.getAsJsonObject());
+            default -> settings.tiersByClass = parseTiers(value.getAsJsonObject());
         }
     }
 
@@ -131,31 +150,38 @@
         return Math.round(value.getAsDouble() * 1000);
     }
 
-    /** For each class, by name or as {@code default}, lists of zones in order of preference; {@code own} and {@code any}. */
-    private int[][] parseTiers(JsonObject from) {
-        for (String name : from.keySet()) {
-            if (!name.equals("default") && dispatchSettings.classes.stream().noneMatch(c -> c.name().equals(name))) {
+    /**
+     * Parses the tiers of zones for each class. A member is the name of a class, or {@code default} for all other classes. Its
+     * value is a list of tiers in order of preference, each a list of zone names, where {@code own} is the dispatcher's zone
+     * and {@code any} all zones that are in no earlier tier. Returns for each class and zone the index of the tier, -1 if the
+     * zone is in none. A class without tiers uses the own zone first, then all others.
+     */
+    private int[][] parseTiers(JsonObject json) {
+        for (String name : json.keySet()) {
+            if (!name.equals("default")
+                    && dispatchSettings.classes.stream().noneMatch(requestClass -> requestClass.name().equals(name))) {
                 throw new IllegalArgumentException("tiers: there is no class " + name);
             }
         }
         int[][] tiers = new int[dispatchSettings.classes.size()][zoneNames.size()];
-        for (int c = 0; c < tiers.length; c++) {
-            JsonElement of = from.get(dispatchSettings.classes.get(c).name());
-            of = of == null ? from.get("default") : of;
-            Arrays.fill(tiers[c], -1);
-            if (of == null) {
-                Arrays.fill(tiers[c], 1);
-                tiers[c][dispatchSettings.ownZone] = 0;
+        for (int classIndex = 0; classIndex < tiers.length; classIndex++) {
+            JsonElement levels = json.get(dispatchSettings.classes.get(classIndex).name());
+            levels = levels == null ? json.get("default") : levels;
+            Arrays.fill(tiers[classIndex], -1);
+            if (levels == null) {
+                Arrays.fill(tiers[classIndex], 1);
+                tiers[classIndex][dispatchSettings.ownZone] = 0;
                 continue;
             }
             int tier = 0;
-            for (JsonElement level : of.getAsJsonArray()) {
+            for (JsonElement level : levels.getAsJsonArray()) {
                 for (JsonElement name : level.getAsJsonArray()) {
                     String zone = name.getAsString();
-                    for (int z = 0; z < zoneNames.size(); z++) {
-                        boolean meant = zone.equals("any") || zone.equals(z == dispatchSettings.ownZone ? "own" : "")
-                            || zone.equals(zoneNames.get(z));
-                        tiers[c][z] = meant && tiers[c][z] < 0 ? tier : tiers[c][z];
+                    for (int zoneIndex = 0; zoneIndex < zoneNames.size(); zoneIndex++) {
+                        boolean isMatch = zone.equals("any") || zone.equals(zoneIndex == dispatchSettings.ownZone ? "own" : "")
+                            || zone.equals(zoneNames.get(zoneIndex));
+                        tiers[classIndex][zoneIndex] = isMatch && tiers[classIndex][zoneIndex] < 0 ? tier
+                            : tiers[classIndex][zoneIndex];
                     }
                     if (!zone.equals("any") && !zone.equals("own") && !zoneNames.contains(zone)) {
                         throw new IllegalArgumentException("tiers: there is no zone " + zone);
@@ -167,11 +193,11 @@
         return tiers;
     }
 
-    @Override public AdminResponse handle(AdminRequest call) throws Exception {
-        if (!call.path().isEmpty()) {
+    @Override public AdminResponse handle(AdminRequest request) throws Exception {
+        if (!request.path().isEmpty()) {
             return AdminResponse.problem(404, "there is only /v1/zones");
         }
-        switch (call.method()) {
+        switch (request.method()) {
             case "GET" -> {
                 return AdminResponse.json(200, toJson());
             }
@@ -181,7 +207,7 @@
             case "PUT" -> {
                 JsonObject object;
                 try {
-                    object = JsonParser.parseString(new String(call.body(), StandardCharsets.UTF_8)).getAsJsonObject();
+                    object = JsonParser.parseString(new String(request.body(), StandardCharsets.UTF_8)).getAsJsonObject();
                     parseSettings(object);
                 } catch (JsonParseException | IllegalStateException e) {
                     return AdminResponse.problem(422, "the body must be a JSON object of settings");
@@ -191,8 +217,8 @@
                 JsonObject section = new JsonObject();
                 section.addProperty("version", SECTION_VERSION);
                 section.add("settings", object);
-                String dry = call.query().get("dry-run");
-                return dry != null && !dry.equals("false") ? AdminResponse.json(200, section)
+                String dryRun = request.query().get("dry-run");
+                return dryRun != null && !dryRun.equals("false") ? AdminResponse.json(200, section)
                     : changeReply(store.replace(store.current().with(SECTION, section)));
             }
             default -> {
@@ -209,35 +235,36 @@
         return AdminResponse.json(200, report);
     }
 
+    /** Returns the settings and the state of each zone, read on the event loop. */
     private JsonObject toJson() throws InterruptedException, ExecutionException {
-        JsonObject view = new JsonObject();
-        view.addProperty("on", zonePolicy != null);
+        JsonObject json = new JsonObject();
+        json.addProperty("on", zonePolicy != null);
         JsonElement section = store.current().section(SECTION);
-        view.add("settings", section == null ? null : section.getAsJsonObject().get("settings"));
-        JsonArray all = new JsonArray();
+        json.add("settings", section == null ? null : section.getAsJsonObject().get("settings"));
+        JsonArray zones = new JsonArray();
         if (zonePolicy != null) {
             long now = clockMicros.getAsLong();
             for (ZonePolicy.Status zone : eventLoop.submit(() -> zonePolicy.statuses(now)).get()) {
-                JsonObject each = new JsonObject();
-                each.addProperty("zone", zone.zone());
-                each.addProperty("standing", zone.health().name().toLowerCase(java.util.Locale.ROOT));
-                each.addProperty("forS", (now - zone.healthSince()) / 100_000 / 10.0);
-                each.addProperty("evidence", zone.evidence());
-                each.addProperty("stage", zone.returnStage());
-                each.addProperty("losses", zone.lossCount());
-                each.addProperty("ready", zone.readyCount());
-                each.addProperty("usual", Math.round(zone.usualReadyCount() * 10) / 10.0);
-                each.addProperty("silent", zone.silentCount());
-                each.addProperty("slotsAtWork", zone.slotsInFlight());
-                each.addProperty("slotsSpilled", zone.spilledSlots());
-                each.addProperty("spillBound", Math.round(zone.spillBound() * 100) / 100.0);
-                each.addProperty("nextTierOpen", zone.isNextTierOpen());
-                each.addProperty("spills", zone.spillCount());
-                each.addProperty("refusals", zone.refusalCount());
-                all.add(each);
+                JsonObject zoneJson = new JsonObject();
+                zoneJson.addProperty("zone", zone.zone());
+                zoneJson.addProperty("standing", zone.health().name().toLowerCase(Locale.ROOT));
+                zoneJson.addProperty("forS", (now - zone.healthSince()) / 100_000 / 10.0);
+                zoneJson.addProperty("evidence", zone.evidence());
+                zoneJson.addProperty("stage", zone.returnStage());
+                zoneJson.addProperty("losses", zone.lossCount());
+                zoneJson.addProperty("ready", zone.readyCount());
+                zoneJson.addProperty("usual", Math.round(zone.usualReadyCount() * 10) / 10.0);
+                zoneJson.addProperty("silent", zone.silentCount());
+                zoneJson.addProperty("slotsAtWork", zone.slotsInFlight());
+                zoneJson.addProperty("slotsSpilled", zone.spilledSlots());
+                zoneJson.addProperty("spillBound", Math.round(zone.spillBound() * 100) / 100.0);
+                zoneJson.addProperty("nextTierOpen", zone.isNextTierOpen());
+                zoneJson.addProperty("spills", zone.spillCount());
+                zoneJson.addProperty("refusals", zone.refusalCount());
+                zones.add(zoneJson);
             }
         }
-        view.add("zones", all);
-        return view;
+        json.add("zones", zones);
+        return json;
     }
 }
--- a/src/main/java/badgermux/gate/package-info.java
+++ b/src/main/java/badgermux/gate/package-info.java
@@ -1,2 +1,2 @@
-/** Joins the contracts to the front, to the answers of backends and to the admin API. */
+/** Applies the contracts to requests and to the responses of backends; holds the admin resources of contracts and zones. */
 package badgermux.gate;
