--- a/src/main/java/badgermux/contract/AsyncApiReader.java
+++ b/src/main/java/badgermux/contract/AsyncApiReader.java
@@ -10,17 +10,19 @@
 import tools.jackson.databind.JsonNode;
 
 /**
- * Reads AsyncAPI 2.6 and 3.0. The application described is the backend: what it receives (2.6: publish) is what clients
- * post, what it sends (2.6: subscribe) are the lines of its answers. A channel's address is the path of its reqs.
+ * Reads AsyncAPI 2.6 and 3.0. The described application is the backend: the messages that it receives (2.6: publish) are the
+ * lines of request bodies, those that it sends (2.6: subscribe) are the lines of its responses. A channel's address is the
+ * path of the requests.
  */
 final class AsyncApiReader extends DescriptionReader {
+    /** Begins a runtime expression that refers to the payload. */
     private static final String PAYLOAD_PREFIX = "$message.payload#";
 
     private final boolean isVersion2;
 
-    AsyncApiReader(ApiDescription description, DocumentBundle bundle, boolean old) {
+    AsyncApiReader(ApiDescription description, DocumentBundle bundle, boolean isVersion2) {
         super(description, bundle, Dialects.getDraft7(), true);
-        this.isVersion2 = old;
+        this.isVersion2 = isVersion2;
     }
 
     @Override void readDescription() {
@@ -28,34 +30,34 @@
             addProblem("", "channels is missing");
             return;
         }
-        List<String> bases = readBasePaths();
+        List<String> basePaths = readBasePaths();
         Map<String, String[]> operations = isVersion2 ? Map.of() : readOperationPointers();
         for (Map.Entry<String, JsonNode> member : members("/channels")) {
-            String at = bundle.resolve("/channels/" + Json.escapeToken(member.getKey()));
-            JsonNode channel = bundle.valueAt(at);
+            String pointer = bundle.resolve("/channels/" + Json.escapeToken(member.getKey()));
+            JsonNode channel = bundle.valueAt(pointer);
             JsonNode address = isVersion2 ? null : channel.get("address");
             String template = isVersion2 ? member.getKey() : address == null ? member.getKey()
                 : address.isString() ? address.stringValue() : null;
             if (template == null) {
-                addWarning(at, "a channel without an address is not judged");
+                addWarning(pointer, "a channel without an address is not judged");
                 continue;
             }
             template = template.startsWith("/") ? template : '/' + template;
-            if (!isValidTemplate(template, at)) {
+            if (!isValidTemplate(template, pointer)) {
                 continue;
             }
-            MessageStream posted;
-            MessageStream answered;
+            MessageStream requestStream;
+            MessageStream responseStream;
             if (isVersion2) {
-                posted = channel.get("publish") == null ? null : readVersion2Stream(template, at + "/publish");
-                answered = channel.get("subscribe") == null ? null : readVersion2Stream(template, at + "/subscribe");
+                requestStream = channel.get("publish") == null ? null : readVersion2Stream(template, pointer + "/publish");
+                responseStream = channel.get("subscribe") == null ? null : readVersion2Stream(template, pointer + "/subscribe");
             } else {
-                String[] pair = operations.getOrDefault(at, new String[2]);
-                posted = pair[0] == null ? null : readStream(template, at, pair[0]);
-                answered = pair[1] == null ? null : readStream(template, at, pair[1]);
+                String[] operationPointers = operations.getOrDefault(pointer, new String[2]);
+                requestStream = operationPointers[0] == null ? null : readStream(template, pointer, operationPointers[0]);
+                responseStream = operationPointers[1] == null ? null : readStream(template, pointer, operationPointers[1]);
             }
-            for (String base : posted == null && answered == null ? List.<String>of() : bases) {
-                description.channels.add(new ApiDescription.Channel(base + template, posted, answered));
+            for (String base : requestStream == null && responseStream == null ? List.<String>of() : basePaths) {
+                description.channels.add(new ApiDescription.Channel(base + template, requestStream, responseStream));
             }
             if (hasMaxProblems()) {
                 return;
@@ -63,165 +65,173 @@
         }
     }
 
+    /** Returns the base paths of all HTTP servers; the root if there are none. */
     private List<String> readBasePaths() {
-        List<String> bases = new ArrayList<>();
+        List<String> paths = new ArrayList<>();
         for (Map.Entry<String, JsonNode> member : members("/servers")) {
-            String at = bundle.resolve("/servers/" + Json.escapeToken(member.getKey()));
-            JsonNode server = bundle.valueAt(at);
+            String pointer = bundle.resolve("/servers/" + Json.escapeToken(member.getKey()));
+            JsonNode server = bundle.valueAt(pointer);
             String protocol = stringMember(server, "protocol");
             String url = isVersion2 ? stringMember(server, "url") : stringMember(server, "pathname");
             if (protocol != null && protocol.startsWith("http")) {
-                for (String base : basePaths(url == null ? "" : url, server.get("variables"), at)) {
-                    if (!bases.contains(base)) {
-                        bases.add(base);
+                for (String base : basePaths(url == null ? "" : url, server.get("variables"), pointer)) {
+                    if (!paths.contains(base)) {
+                        paths.add(base);
                     }
                 }
             }
         }
-        return bases.isEmpty() ? List.of("") : bases;
+        return paths.isEmpty() ? List.of("") : paths;
     }
 
-    /** For each channel's pointer the pointers of the operation that receives there and of the one that sends. */
+    /**
+     * Returns for each channel's pointer the pointers of its operations: first the one that receives, then the one that sends;
+     * null for none.
+     */
     private Map<String, String[]> readOperationPointers() {
-        Map<String, String[]> found = new LinkedHashMap<>();
+        Map<String, String[]> pointersByChannel = new LinkedHashMap<>();
         for (Map.Entry<String, JsonNode> member : members("/operations")) {
-            String at = bundle.resolve("/operations/" + Json.escapeToken(member.getKey()));
-            String action = stringMember(bundle.valueAt(at), "action");
+            String pointer = bundle.resolve("/operations/" + Json.escapeToken(member.getKey()));
+            String action = stringMember(bundle.valueAt(pointer), "action");
             if (action == null || !Set.of("send", "receive").contains(action)) {
-                addProblem(at, "action must be send or receive");
+                addProblem(pointer, "action must be send or receive");
                 continue;
             }
-            if (bundle.valueAt(at + "/channel") == null) {
-                addProblem(at, "channel is missing");
+            if (bundle.valueAt(pointer + "/channel") == null) {
+                addProblem(pointer, "channel is missing");
                 continue;
             }
-            String[] pair = found.computeIfAbsent(bundle.resolve(at + "/channel"), channel -> new String[2]);
-            int which = action.equals("receive") ? 0 : 1;
-            if (pair[which] != null) {
-                addProblem(at, "a second operation of this action on one channel");
+            String[] pointers = pointersByChannel.computeIfAbsent(bundle.resolve(pointer + "/channel"),
+                channel -> new String[2]);
+            int index = action.equals("receive") ? 0 : 1;
+            if (pointers[index] != null) {
+                addProblem(pointer, "a second operation of this action on one channel");
             }
-            pair[which] = at;
+            pointers[index] = pointer;
         }
-        return found;
+        return pointersByChannel;
     }
 
-    private MessageStream readStream(String template, String channel, String operation) {
+    /** Reads a stream of AsyncAPI 3.0. An operation without a list of messages has all messages of its channel. */
+    private MessageStream readStream(String template, String channelPointer, String operationPointer) {
         Map<String, MessageStream.Message> messages = new LinkedHashMap<>();
-        JsonNode list = bundle.valueAt(operation + "/messages");
-        if (list != null && list.isArray()) {
-            for (int i = 0; i < list.size(); i++) {
-                String reference = stringMember(list.get(i), "$ref");
-                List<String> steps = reference == null ? null : DocumentBundle.referenceTokens(reference);
-                String name = steps == null || steps.isEmpty() ? String.valueOf(i) : steps.get(steps.size() - 1);
-                messages.put(name, readMessage(name, bundle.resolve(operation + "/messages/" + i)));
+        JsonNode messageList = bundle.valueAt(operationPointer + "/messages");
+        if (messageList != null && messageList.isArray()) {
+            for (int i = 0; i < messageList.size(); i++) {
+                String reference = stringMember(messageList.get(i), "$ref");
+                List<String> tokens = reference == null ? null : DocumentBundle.referenceTokens(reference);
+                String name = tokens == null || tokens.isEmpty() ? String.valueOf(i) : tokens.get(tokens.size() - 1);
+                messages.put(name, readMessage(name, bundle.resolve(operationPointer + "/messages/" + i)));
             }
         } else {
-            String map = bundle.resolve(channel + "/messages");
-            for (Map.Entry<String, JsonNode> member : members(map)) {
+            String messagesPointer = bundle.resolve(channelPointer + "/messages");
+            for (Map.Entry<String, JsonNode> member : members(messagesPointer)) {
                 messages.put(member.getKey(), readMessage(member.getKey(),
-                    bundle.resolve(map + '/' + Json.escapeToken(member.getKey()))));
+                    bundle.resolve(messagesPointer + '/' + Json.escapeToken(member.getKey()))));
             }
         }
-        return readStream(template, operation, messages);
+        return readStream(template, operationPointer, messages);
     }
 
-    private MessageStream readVersion2Stream(String template, String operation) {
+    /** Reads a stream of AsyncAPI 2.6. */
+    private MessageStream readVersion2Stream(String template, String operationPointer) {
         Map<String, MessageStream.Message> messages = new LinkedHashMap<>();
-        String at = operation + "/message";
-        JsonNode alternatives = bundle.valueAt(at) == null ? null : bundle.valueAt(at).get("oneOf");
+        String messagePointer = operationPointer + "/message";
+        JsonNode alternatives = bundle.valueAt(messagePointer) == null ? null : bundle.valueAt(messagePointer).get("oneOf");
         for (int i = 0; i < (alternatives == null ? 1 : alternatives.size()); i++) {
-            String each = alternatives == null ? at : at + "/oneOf/" + i;
-            String reference = stringMember(bundle.valueAt(each), "$ref");
-            String resolved = bundle.resolve(each);
+            String alternativePointer = alternatives == null ? messagePointer : messagePointer + "/oneOf/" + i;
+            String reference = stringMember(bundle.valueAt(alternativePointer), "$ref");
+            String resolved = bundle.resolve(alternativePointer);
             JsonNode message = bundle.valueAt(resolved);
             if (message == null) {
-                addProblem(operation, "message is missing");
+                addProblem(operationPointer, "message is missing");
                 return null;
             }
-            List<String> steps = reference == null ? null : DocumentBundle.referenceTokens(reference);
-            String name = steps != null && !steps.isEmpty() ? steps.get(steps.size() - 1)
+            List<String> tokens = reference == null ? null : DocumentBundle.referenceTokens(reference);
+            String name = tokens != null && !tokens.isEmpty() ? tokens.get(tokens.size() - 1)
                 : stringMember(message, "messageId") != null ? stringMember(message, "messageId")
                 : stringMember(message, "name") != null ? stringMember(message, "name") : String.valueOf(i);
             messages.put(name, readMessage(name, resolved));
         }
-        return readStream(template, operation, messages);
+        return readStream(template, operationPointer, messages);
     }
 
-    private MessageStream readStream(String template, String operation, Map<String, MessageStream.Message> messages) {
+    private MessageStream readStream(String template, String operationPointer, Map<String, MessageStream.Message> messages) {
         if (messages.isEmpty() || messages.containsValue(null)) {
             if (messages.isEmpty()) {
-                addProblem(operation, "there are no messages");
+                addProblem(operationPointer, "there are no messages");
             }
             return null;
         }
         MessageOrder order = null;
-        if (bundle.valueAt(operation).get(MessageOrder.EXTENSION_KEY) != null) {
-            String extension = bundle.resolve(operation + '/' + MessageOrder.EXTENSION_KEY);
+        if (bundle.valueAt(operationPointer).get(MessageOrder.EXTENSION_KEY) != null) {
+            String extensionPointer = bundle.resolve(operationPointer + '/' + MessageOrder.EXTENSION_KEY);
             Map<String, String> problems = new LinkedHashMap<>();
-            order = MessageOrder.read(bundle.valueAt(extension), messages.keySet(), problems);
-            problems.forEach((at, reason) -> addProblem(extension + at, reason));
+            order = MessageOrder.read(bundle.valueAt(extensionPointer), messages.keySet(), problems);
+            problems.forEach((subpointer, reason) -> addProblem(extensionPointer + subpointer, reason));
         }
         return new MessageStream(description.name(), template, messages, order);
     }
 
-    private MessageStream.Message readMessage(String name, String at) {
-        JsonNode message = bundle.valueAt(at);
+    /** Reads a message; returns null if it is not an object. */
+    private MessageStream.Message readMessage(String name, String pointer) {
+        JsonNode message = bundle.valueAt(pointer);
         if (message == null || !message.isObject()) {
-            addProblem(at, "a message must be an object");
+            addProblem(pointer, "a message must be an object");
             return null;
         }
-        String payload = payloadPointer(at, message);
-        String headers = findPart(at, "headers");
-        List<String> correlation = null;
-        String location = findPart(at, "correlationId");
-        if (location != null) {
-            String expression = stringMember(bundle.valueAt(bundle.resolve(location)), "location");
-            correlation = expression == null || !expression.startsWith(PAYLOAD_PREFIX) ? null
+        String payloadPointer = payloadPointer(pointer, message);
+        String headersPointer = findPart(pointer, "headers");
+        List<String> correlationIdPath = null;
+        String correlationIdPointer = findPart(pointer, "correlationId");
+        if (correlationIdPointer != null) {
+            String expression = stringMember(bundle.valueAt(bundle.resolve(correlationIdPointer)), "location");
+            correlationIdPath = expression == null || !expression.startsWith(PAYLOAD_PREFIX) ? null
                 : Json.pointerTokens(expression.substring(PAYLOAD_PREFIX.length()));
-            if (correlation == null) {
-                addProblem(location, "a correlation id must lie in the payload: " + PAYLOAD_PREFIX + "/...");
+            if (correlationIdPath == null) {
+                addProblem(correlationIdPointer, "a correlation id must lie in the payload: " + PAYLOAD_PREFIX + "/...");
             }
         }
-        Set<String> names = new LinkedHashSet<>();
-        if (headers != null) {
-            JsonNode schema = bundle.valueAt(bundle.resolve(headers));
+        Set<String> headerNames = new LinkedHashSet<>();
+        if (headersPointer != null) {
+            JsonNode schema = bundle.valueAt(bundle.resolve(headersPointer));
             if (schema.get("properties") != null) {
-                names.addAll(schema.get("properties").propertyNames());
+                headerNames.addAll(schema.get("properties").propertyNames());
             }
             if (schema.get("required") != null) {
-                schema.get("required").forEach(required -> names.add(required.asString("")));
+                schema.get("required").forEach(required -> headerNames.add(required.asString("")));
             }
         }
-        return new MessageStream.Message(name, payload == null ? null : compileSchema(payload),
-            headers == null ? null : compileSchema(headers), names, correlation);
+        return new MessageStream.Message(name, payloadPointer == null ? null : compileSchema(payloadPointer),
+            headersPointer == null ? null : compileSchema(headersPointer), headerNames, correlationIdPath);
     }
 
-    /** A part of a message, its own or else that of the first trait that has it; null for none. */
-    private String findPart(String at, String name) {
-        if (bundle.valueAt(at).get(name) != null) {
-            return at + '/' + name;
+    /** Returns the pointer of a member of a message, its own or that of the first trait that has it; null if there is none. */
+    private String findPart(String messagePointer, String name) {
+        if (bundle.valueAt(messagePointer).get(name) != null) {
+            return messagePointer + '/' + name;
         }
-        JsonNode traits = bundle.valueAt(at).get("traits");
+        JsonNode traits = bundle.valueAt(messagePointer).get("traits");
         for (int i = 0; traits != null && i < traits.size(); i++) {
-            String trait = bundle.resolve(at + "/traits/" + i);
-            if (bundle.valueAt(trait) != null && bundle.valueAt(trait).get(name) != null) {
-                return trait + '/' + name;
+            String traitPointer = bundle.resolve(messagePointer + "/traits/" + i);
+            if (bundle.valueAt(traitPointer) != null && bundle.valueAt(traitPointer).get(name) != null) {
+                return traitPointer + '/' + name;
             }
         }
         return null;
     }
 
-    /** Where the payload's schema stands; null where any payload will do. */
-    private String payloadPointer(String at, JsonNode message) {
+    /** Returns the pointer of the payload's schema; null if any payload is allowed. */
+    private String payloadPointer(String messagePointer, JsonNode message) {
         if (message.get("payload") == null) {
             return null;
         }
-        String pointer = bundle.resolve(at + "/payload");
+        String pointer = bundle.resolve(messagePointer + "/payload");
         JsonNode payload = bundle.valueAt(pointer);
         String format = isVersion2 ? stringMember(message, "schemaFormat") : stringMember(payload, "schemaFormat");
         if (format != null && !format.startsWith("application/vnd.aai.asyncapi")
                 && !format.startsWith("application/schema+json") && !format.startsWith("application/schema+yaml")) {
-            addProblem(at, "only JSON Schema can be read as a payload's format");
+            addProblem(messagePointer, "only JSON Schema can be read as a payload's format");
             return null;
         }
         return !isVersion2 && format != null && payload.get("schema") != null ? pointer + "/schema" : pointer;
--- a/src/main/java/badgermux/contract/ContractSet.java
+++ b/src/main/java/badgermux/contract/ContractSet.java
@@ -6,61 +6,73 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** All descriptions that are in force together, as one table of routes. It never changes: a new revision is a new one. */
+/** All descriptions that are in force together, as one table of routes. Immutable: each revision is a new instance. */
 public final class ContractSet {
-    /** What is held of a path: an operation for each method, and the streams. */
+    /** The maximum number of problems in one exception. */
+    private static final int MAX_PROBLEMS = 50;
+
+    /** The operations of one path, by HTTP method. */
     private static final class PathOperations {
         private final Map<String, Operation> operations = new TreeMap<>();
     }
 
-    /** What a judged request is held to until its final answer. */
+    /** Validates the response to an accepted request. */
     public static final class ResponseValidator {
         private final ContractSet contracts;
         private final Operation operation;
         private final MessageStream responseStream;
 
-        private ResponseValidator(ContractSet contracts, Operation operation, MessageStream answered) {
+        private ResponseValidator(ContractSet contracts, Operation operation, MessageStream responseStream) {
             this.contracts = contracts;
             this.operation = operation;
-            this.responseStream = answered;
+            this.responseStream = responseStream;
         }
 
-        /** The revision that judged it. */
+        /** Returns the revision that validated the request. */
         public long revision() {
             return contracts.revision;
         }
 
-        /** The lines of one fetch's answer, which came with these headers; null where none are described. */
+        /**
+         * Returns the validator for the lines of one attempt's response; null if the description has no stream for it.
+         *
+         * @param headers the headers of the response
+         */
         public LineValidator lineValidator(HttpRequest.Headers headers) {
-            return responseStream == null ? null : new LineValidator(responseStream.newValidator(headers, SchemaCompiler.Direction.EVENT));
+            return responseStream == null ? null
+                : new LineValidator(responseStream.newValidator(headers, SchemaCompiler.Direction.EVENT));
         }
 
-        /** Whether results are judged at all. */
+        /** Whether results are validated at all. */
         public boolean validatesResults() {
             return operation != null && operation.responseSchema != null;
         }
 
-        /** Whether a result that does not conform fails the req; else it is only counted. */
+        /** Whether a result that does not conform fails the request; otherwise it is only counted. */
         public boolean rejectsInvalidResults() {
             return operation != null && operation.resultPolicy == Operation.ResultPolicy.FAIL;
         }
 
-        /** The first fault of a served result; null for none. */
+        /**
+         * Returns the first fault of a result; null if it conforms.
+         *
+         * @throws StepLimitException if the validation exceeds the step limit
+         */
         public Fault validateResult(byte[] body) {
             List<Fault> faults = operation.validateResult(body, SchemaCompiler.MAX_STEPS);
             return faults.isEmpty() ? null : faults.get(0);
         }
     }
 
-    /** The judge of one answer's lines. */
+    /** Validates the lines of one response in their order. */
     public static final class LineValidator {
         private final MessageStream.Validator streamValidator;
 
-        private LineValidator(MessageStream.Validator stream) {
-            this.streamValidator = stream;
+        private LineValidator(MessageStream.Validator streamValidator) {
+            this.streamValidator = streamValidator;
         }
 
-        /** The first fault of the next line; null where it may come now. */
+        /** Returns the first fault of the next line; null if the line is allowed here. */
         public Fault validate(byte[] line) {
             try {
                 List<Fault> faults = streamValidator.validateLine(line, SchemaCompiler.MAX_QUICK_STEPS);
@@ -73,7 +85,11 @@
         }
     }
 
-    /** A verdict, and what holds from then on where it is that the request conforms. */
+    /**
+     * The result of validating a request.
+     *
+     * @param responseValidator validates the response; null if the request is refused or has no described operation
+     */
     public record RequestValidation(ValidationResult result, ResponseValidator responseValidator) { }
 
     private final long revision;
@@ -89,11 +105,11 @@
     }
 
     /**
-     * Joins descriptions.
+     * Combines descriptions.
      *
-     * @param revision          the number that this set is told by
-     * @param passesUndescribed whether a request on a path of no description is passed on unjudged
-     * @throws DescriptionException where two describe the same
+     * @param revision          the number of this set, as reported to clients and operators
+     * @param passesUndescribed whether a request to a path without a description is passed on without validation
+     * @throws DescriptionException if an operation or a channel is described twice
      */
     public static ContractSet of(long revision, List<ApiDescription> descriptions, boolean passesUndescribed)
             throws DescriptionException {
@@ -104,28 +120,28 @@
                 contracts.addRoute(description, route, problems);
             }
             for (ApiDescription.Channel channel : description.channels) {
-                ApiDescription.Channel other = contracts.channels.put(channel.template(), channel);
-                if (other != null) {
+                ApiDescription.Channel duplicate = contracts.channels.put(channel.template(), channel);
+                if (duplicate != null) {
                     problems.add(description.bundle().problemAt("/channels", "the channel " + channel.template()
                         + " is described twice"));
                 }
             }
         }
         if (!problems.isEmpty()) {
-            throw new DescriptionException(problems.subList(0, Math.min(50, problems.size())));
+            throw new DescriptionException(problems.subList(0, Math.min(MAX_PROBLEMS, problems.size())));
         }
         return contracts;
     }
 
     private void addRoute(ApiDescription description, ApiDescription.Route route, List<Problem> problems) {
-        PathOperations made = new PathOperations();
-        PathOperations known = paths.put(route.template(), made);
-        PathOperations path = known == null ? made : known;
-        Operation other = path.operations.putIfAbsent(route.method(), route.operation());
-        if (other != null && other != route.operation()) {
+        PathOperations newOperations = new PathOperations();
+        PathOperations existing = paths.put(route.template(), newOperations);
+        PathOperations operations = existing == null ? newOperations : existing;
+        Operation duplicate = operations.operations.putIfAbsent(route.method(), route.operation());
+        if (duplicate != null && duplicate != route.operation()) {
             problems.add(description.bundle().problemAt(route.operation().pointer, route.method() + ' '
-                + route.template() + " is described twice" + (other.descriptionName.equals(description.name()) ? ""
-                : ", also by " + other.descriptionName)));
+                + route.template() + " is described twice" + (duplicate.descriptionName.equals(description.name()) ? ""
+                : ", also by " + duplicate.descriptionName)));
         }
     }
 
@@ -137,21 +153,21 @@
         return descriptions;
     }
 
-    /** How many paths and channels there are. */
+    /** Returns the number of paths and channels. */
     public int size() {
         return paths.size() + channels.size();
     }
 
     /**
-     * Judges a request with few steps, for a thread that may not be held up.
+     * Validates a request within a small step limit, for use on the event loop.
      *
-     * @throws StepLimitException where those do not suffice
+     * @throws StepLimitException if the validation exceeds this limit
      */
     public RequestValidation validateQuickly(HttpRequest request) {
         return validate(request, SchemaCompiler.MAX_QUICK_STEPS);
     }
 
-    /** Judges a request; one that takes too many steps is refused for that. */
+    /** Validates a request; a request that exceeds the step limit is refused with status 422. */
     public RequestValidation validate(HttpRequest request) {
         try {
             return validate(request, SchemaCompiler.MAX_STEPS);
@@ -161,36 +177,42 @@
         }
     }
 
-    private RequestValidation validate(HttpRequest request, long steps) {
+    private RequestValidation validate(HttpRequest request, long maxSteps) {
         if (descriptions.isEmpty()) {
             return new RequestValidation(ValidationResult.CONFORMS, null);
         }
-        int question = request.target().indexOf('?');
-        String path = question < 0 ? request.target() : request.target().substring(0, question);
-        String query = question < 0 ? "" : request.target().substring(question + 1);
-        RouteTable.Match<PathOperations> match;
-        RouteTable.Match<ApiDescription.Channel> channel;
+        int queryStart = request.target().indexOf('?');
+        String path = queryStart < 0 ? request.target() : request.target().substring(0, queryStart);
+        String query = queryStart < 0 ? "" : request.target().substring(queryStart + 1);
+        RouteTable.Match<PathOperations> pathMatch;
+        RouteTable.Match<ApiDescription.Channel> channelMatch;
         try {
-            match = paths.find(path);
-            channel = request.method().equals("POST") ? channels.find(path) : null;
+            pathMatch = paths.find(path);
+            channelMatch = request.method().equals("POST") ? channels.find(path) : null;
         } catch (SyntaxException e) {
-            return new RequestValidation(ValidationResult.refused(400, "", new Fault("path", "", "syntax", e.getMessage())), null);
-        }
-        MessageStream posted = channel == null ? null : channel.route().requestStream();
-        MessageStream answered = channel == null ? null : channel.route().responseStream();
-        if (match == null && channel == null) {
-            return passesUndescribed ? new RequestValidation(ValidationResult.CONFORMS, null) : new RequestValidation(ValidationResult.refused(404, "",
-                new Fault("path", "", "path", "no description has this path")), null);
-        }
-        Operation operation = match == null ? null : match.route().operations.get(request.method());
-        if (match != null && operation == null && channel == null) {
-            String allow = String.join(", ", match.route().operations.keySet());
-            return new RequestValidation(new ValidationResult(405, List.of(new Fault("path", "", "method", "must be one of " + allow)), allow,
-                match.route().operations.values().iterator().next().descriptionName), null);
-        }
-        Operation judge = operation != null ? operation
-            : new Operation(channel.route().requestStream() == null ? answered.description() : posted.description(), "", "");
-        ValidationResult verdict = judge.validate(request, query, match == null ? List.of() : match.parameterValues(), posted, steps);
-        return new RequestValidation(verdict, verdict.conforms() ? new ResponseValidator(this, operation, answered) : null);
+            return new RequestValidation(
+                ValidationResult.refused(400, "", new Fault("path", "", "syntax", e.getMessage())), null);
+        }
+        MessageStream requestStream = channelMatch == null ? null : channelMatch.route().requestStream();
+        MessageStream responseStream = channelMatch == null ? null : channelMatch.route().responseStream();
+        if (pathMatch == null && channelMatch == null) {
+            return passesUndescribed ? new RequestValidation(ValidationResult.CONFORMS, null)
+                : new RequestValidation(ValidationResult.refused(404, "",
+                    new Fault("path", "", "path", "no description has this path")), null);
+        }
+        Operation operation = pathMatch == null ? null : pathMatch.route().operations.get(request.method());
+        if (pathMatch != null && operation == null && channelMatch == null) {
+            String allowedMethods = String.join(", ", pathMatch.route().operations.keySet());
+            return new RequestValidation(new ValidationResult(405,
+                List.of(new Fault("path", "", "method", "must be one of " + allowedMethods)), allowedMethods,
+                pathMatch.route().operations.values().iterator().next().descriptionName), null);
+        }
+        Operation validatingOperation = operation != null ? operation
+            : new Operation(channelMatch.route().requestStream() == null ? responseStream.descriptionName()
+                : requestStream.descriptionName(), "", "");
+        ValidationResult result = validatingOperation.validate(request, query,
+            pathMatch == null ? List.of() : pathMatch.parameterValues(), requestStream, maxSteps);
+        return new RequestValidation(result,
+            result.conforms() ? new ResponseValidator(this, operation, responseStream) : null);
     }
 }
--- a/src/main/java/badgermux/contract/DescriptionDiff.java
+++ b/src/main/java/badgermux/contract/DescriptionDiff.java
@@ -14,17 +14,16 @@
 import tools.jackson.databind.JsonNode;
 
 /**
- * What a new revision of a description would refuse and the old one did not: removed routes and media types, and schemas
- * that became narrower. It looks at keywords one by one, so that a change which two keywords make good together is told
- * all the same.
+ * Finds what a new revision of a description refuses and the old one does not: removed routes and media types, and narrower
+ * schemas. Keywords are compared one by one, so a change is reported even if another keyword makes up for it.
  */
 public final class DescriptionDiff {
     /**
-     * One change that may break clients.
+     * A change that may break clients.
      *
      * @param route   the method and path, or the channel
-     * @param pointer where it stands in the new description; in the old one, for what was removed
-     * @param reason  what changed
+     * @param pointer the JSON pointer in the new description; in the old one for a removed route; may be empty
+     * @param reason  the change, in a few words
      */
     public record BreakingChange(String route, String pointer, String reason) {
         @Override public String toString() {
@@ -32,13 +31,18 @@
         }
     }
 
-    private static final int MAX_DEPTH = 40, MAX_CHANGES = 1_000;
+    /** How deep schemas are compared. */
+    private static final int MAX_DEPTH = 40;
+    private static final int MAX_CHANGES = 1_000;
+    /** The types of JSON Schema. */
     private static final Set<String> TYPES = Set.of("null", "boolean", "number", "integer", "string", "array", "object");
 
     private final DocumentBundle before;
     private final DocumentBundle after;
     private final List<BreakingChange> changes = new ArrayList<>();
+    /** The pairs of schemas already compared for a route, so that recursive schemas come to an end. */
     private final Set<String> comparedPairs = new HashSet<>();
+    /** The route being compared. */
     private String route;
 
     private DescriptionDiff(DocumentBundle before, DocumentBundle after) {
@@ -46,30 +50,30 @@
         this.after = after;
     }
 
-    /** The changes, in the order of the old description. */
+    /** Returns the breaking changes, in the order of the old description. */
     public static List<BreakingChange> breakingChanges(ApiDescription before, ApiDescription after) {
         DescriptionDiff diff = new DescriptionDiff(before.bundle(), after.bundle());
         Map<String, Operation> operations = new LinkedHashMap<>();
-        after.routes.forEach(r -> operations.put(routeKey(r), r.operation()));
+        after.routes.forEach(route -> operations.put(routeKey(route), route.operation()));
         for (ApiDescription.Route old : before.routes) {
             diff.route = old.method() + ' ' + old.template();
-            Operation now = operations.get(routeKey(old));
-            if (now == null) {
+            Operation counterpart = operations.get(routeKey(old));
+            if (counterpart == null) {
                 diff.addChange(old.operation().pointer, "removed");
             } else {
-                diff.compareOperations(old.operation(), now);
+                diff.compareOperations(old.operation(), counterpart);
             }
         }
         Map<String, ApiDescription.Channel> channels = new LinkedHashMap<>();
-        after.channels.forEach(c -> channels.put(normalizeTemplate(c.template()), c));
+        after.channels.forEach(channel -> channels.put(normalizeTemplate(channel.template()), channel));
         for (ApiDescription.Channel old : before.channels) {
             diff.route = "channel " + old.template();
-            ApiDescription.Channel now = channels.get(normalizeTemplate(old.template()));
-            if (now == null) {
+            ApiDescription.Channel counterpart = channels.get(normalizeTemplate(old.template()));
+            if (counterpart == null) {
                 diff.addChange("", "removed");
             } else {
-                diff.compareStreams("posted", old.requestStream(), now.requestStream());
-                diff.compareStreams("answered", old.responseStream(), now.responseStream());
+                diff.compareStreams("posted", old.requestStream(), counterpart.requestStream());
+                diff.compareStreams("answered", old.responseStream(), counterpart.responseStream());
             }
         }
         return diff.changes;
@@ -79,6 +83,7 @@
         return route.method() + ' ' + normalizeTemplate(route.template());
     }
 
+    /** Returns a path template without the names of its parameters. */
     private static String normalizeTemplate(String template) {
         return template.replaceAll("\\{[^}]*}", "{}");
     }
@@ -90,155 +95,165 @@
         }
     }
 
-    private void compareOperations(Operation old, Operation now) {
-        Map<String, Parameter> known = old.parameters.stream()
-            .collect(Collectors.toMap(p -> p.in() + ' ' + parameterKey(old, p), p -> p, (a, b) -> a));
-        for (Parameter parameter : now.parameters) {
-            Parameter was = known.get(parameter.in() + ' ' + parameterKey(now, parameter));
+    private void compareOperations(Operation oldOperation, Operation newOperation) {
+        Map<String, Parameter> oldParameters = oldOperation.parameters.stream()
+            .collect(Collectors.toMap(parameter -> parameter.in() + ' ' + parameterKey(oldOperation, parameter),
+                parameter -> parameter, (first, second) -> first));
+        for (Parameter parameter : newOperation.parameters) {
+            Parameter oldParameter = oldParameters.get(parameter.in() + ' ' + parameterKey(newOperation, parameter));
             String name = parameter.in() + " parameter " + parameter.name();
-            if (was == null || !was.required()) {
+            if (oldParameter == null || !oldParameter.required()) {
                 if (parameter.required()) {
-                    addChange(now.pointer, name + " is now required");
+                    addChange(newOperation.pointer, name + " is now required");
                 }
             }
-            if (was != null) {
-                if (!was.style().equals(parameter.style()) || was.explode() != parameter.explode()
-                        || was.jsonEncoded() != parameter.jsonEncoded()) {
-                    addChange(now.pointer, name + " is written in another way");
+            if (oldParameter != null) {
+                if (!oldParameter.style().equals(parameter.style()) || oldParameter.explode() != parameter.explode()
+                        || oldParameter.jsonEncoded() != parameter.jsonEncoded()) {
+                    addChange(newOperation.pointer, name + " is written in another way");
                 }
-                compareSchemas(was.schema(), parameter.schema());
+                compareSchemas(oldParameter.schema(), parameter.schema());
             }
         }
-        if (now.bodyRequired && !old.bodyRequired) {
-            addChange(now.pointer, "a body is now required");
+        if (newOperation.bodyRequired && !oldOperation.bodyRequired) {
+            addChange(newOperation.pointer, "a body is now required");
         }
-        if (now.bodySchemas == null) {
+        if (newOperation.bodySchemas == null) {
             return;
         }
-        if (old.bodySchemas == null) {
-            addChange(now.pointer, "bodies are now judged");
+        if (oldOperation.bodySchemas == null) {
+            addChange(newOperation.pointer, "bodies are now judged");
             return;
         }
-        old.bodySchemas.forEach((type, rule) -> {
-            BodySchema next = now.bodySchemas.get(type);
-            next = next == null ? MediaType.bestMatch(now.bodySchemas, type) : next;
-            if (next == null) {
-                addChange(now.pointer, "the media type " + type + " is no longer taken");
+        oldOperation.bodySchemas.forEach((mediaType, oldSchema) -> {
+            BodySchema newSchema = newOperation.bodySchemas.get(mediaType);
+            newSchema = newSchema == null ? MediaType.bestMatch(newOperation.bodySchemas, mediaType) : newSchema;
+            if (newSchema == null) {
+                addChange(newOperation.pointer, "the media type " + mediaType + " is no longer taken");
             } else {
-                compareSchemas(rule.schema(), next.schema());
+                compareSchemas(oldSchema.schema(), newSchema.schema());
             }
         });
     }
 
-    /** A path's parameter is known by its place, since its name is nobody's business but the description's. */
-    private static String parameterKey(Operation of, Parameter parameter) {
-        return parameter.in().equals("path") ? String.valueOf(of.pathParameterNames.indexOf(parameter.name())) : parameter.name();
+    /** Path parameters are identified by their index, as clients don't see their names. */
+    private static String parameterKey(Operation operation, Parameter parameter) {
+        return parameter.in().equals("path") ? String.valueOf(operation.pathParameterNames.indexOf(parameter.name()))
+            : parameter.name();
     }
 
-    private void compareStreams(String which, MessageStream old, MessageStream now) {
-        if (now == null) {
+    /** Compares the streams of a channel; {@code direction} names them in the reasons. */
+    private void compareStreams(String direction, MessageStream oldStream, MessageStream newStream) {
+        if (newStream == null) {
             return;
         }
-        if (old == null) {
-            addChange("", which + " lines are now judged");
+        if (oldStream == null) {
+            addChange("", direction + " lines are now judged");
             return;
         }
-        old.messages().forEach((name, message) -> {
-            MessageStream.Message next = now.messages().get(name);
-            if (next == null) {
-                addChange("", which + " message removed: " + name);
+        oldStream.messages().forEach((name, message) -> {
+            MessageStream.Message newMessage = newStream.messages().get(name);
+            if (newMessage == null) {
+                addChange("", direction + " message removed: " + name);
             } else {
-                compareSchemas(message.payload(), next.payload());
-                compareSchemas(message.headers(), next.headers());
-                if (next.correlationIdPath() != null && !next.correlationIdPath().equals(message.correlationIdPath())) {
-                    addChange("", which + " message " + name + " has another correlation id");
+                compareSchemas(message.payload(), newMessage.payload());
+                compareSchemas(message.headers(), newMessage.headers());
+                if (newMessage.correlationIdPath() != null
+                        && !newMessage.correlationIdPath().equals(message.correlationIdPath())) {
+                    addChange("", direction + " message " + name + " has another correlation id");
                 }
             }
         });
-        if (now.order() == null) {
+        if (newStream.order() == null) {
             return;
         }
-        if (old.order() == null) {
-            addChange("", which + " messages now have an order");
+        if (oldStream.order() == null) {
+            addChange("", direction + " messages now have an order");
             return;
         }
-        reportRemoved(which + " messages may no longer come first: ", old.order().first(), now.order().first());
-        reportRemoved(which + " messages may no longer come last: ", old.order().last(), now.order().last());
-        old.order().follow().forEach((from, next) -> reportRemoved(which + " messages may no longer follow " + from + ": ",
-            next, now.order().follow().getOrDefault(from, Set.of())));
+        reportRemoved(direction + " messages may no longer come first: ", oldStream.order().first(), newStream.order().first());
+        reportRemoved(direction + " messages may no longer come last: ", oldStream.order().last(), newStream.order().last());
+        oldStream.order().follow().forEach((message, followers) ->
+            reportRemoved(direction + " messages may no longer follow " + message + ": ", followers,
+                newStream.order().follow().getOrDefault(message, Set.of())));
     }
 
-    private void reportRemoved(String words, Set<String> old, Set<String> now) {
-        Set<String> gone = new LinkedHashSet<>(old);
-        gone.removeAll(now);
-        if (!gone.isEmpty()) {
-            addChange("", words + String.join(", ", gone));
+    /** Reports the names that only the old set contains. */
+    private void reportRemoved(String reason, Set<String> oldNames, Set<String> newNames) {
+        Set<String> removed = new LinkedHashSet<>(oldNames);
+        removed.removeAll(newNames);
+        if (!removed.isEmpty()) {
+            addChange("", reason + String.join(", ", removed));
         }
     }
 
-    private void compareSchemas(SchemaCompiler.CompiledSchema old, SchemaCompiler.CompiledSchema now) {
-        if (now != null) {
-            compareSchemasAt(old == null ? null : old.pointer(), now.pointer(), 0);
+    private void compareSchemas(SchemaCompiler.CompiledSchema oldSchema, SchemaCompiler.CompiledSchema newSchema) {
+        if (newSchema != null) {
+            compareSchemasAt(oldSchema == null ? null : oldSchema.pointer(), newSchema.pointer(), 0);
         }
     }
 
-    /** {@code oldAt} is null where there was no schema. */
-    private void compareSchemasAt(String oldAt, String nowAt, int depth) {
-        String from = oldAt == null ? null : before.resolve(oldAt);
-        String to = after.resolve(nowAt);
-        if (depth > MAX_DEPTH || !comparedPairs.add(route + ' ' + from + ' ' + to)) {
+    /** Compares the schemas at two pointers; {@code oldPointer} is null if the old description has no schema here. */
+    private void compareSchemasAt(String oldPointer, String newPointer, int depth) {
+        String oldResolved = oldPointer == null ? null : before.resolve(oldPointer);
+        String newResolved = after.resolve(newPointer);
+        if (depth > MAX_DEPTH || !comparedPairs.add(route + ' ' + oldResolved + ' ' + newResolved)) {
             return;
         }
-        JsonNode old = from == null ? null : before.valueAt(from);
-        JsonNode now = after.valueAt(to);
-        if (old != null && old.equals(now) && before.root().equals(after.root())) {
+        JsonNode oldSchema = oldResolved == null ? null : before.valueAt(oldResolved);
+        JsonNode newSchema = after.valueAt(newResolved);
+        if (oldSchema != null && oldSchema.equals(newSchema) && before.root().equals(after.root())) {
             return;
         }
-        if (now.isBoolean() || old != null && old.isBoolean()) {
-            if (now.isBoolean() && !now.booleanValue() && !(old != null && old.isBoolean() && !old.booleanValue())) {
-                addChange(to, "nothing is allowed any more");
-            } else if (now.isObject() && !now.isEmpty() && old.booleanValue()) {
-                addChange(to, "no longer takes any value");
+        if (newSchema.isBoolean() || oldSchema != null && oldSchema.isBoolean()) {
+            if (newSchema.isBoolean() && !newSchema.booleanValue()
+                    && !(oldSchema != null && oldSchema.isBoolean() && !oldSchema.booleanValue())) {
+                addChange(newResolved, "nothing is allowed any more");
+            } else if (newSchema.isObject() && !newSchema.isEmpty() && oldSchema.booleanValue()) {
+                addChange(newResolved, "no longer takes any value");
             }
             return;
         }
-        compareTypes(old, now, to);
-        compareBound("minimum", old, now, to, (a, b) -> a.compareTo(b) < 0);
-        compareBound("exclusiveMinimum", old, now, to, (a, b) -> a.compareTo(b) < 0);
-        compareBound("minLength", old, now, to, (a, b) -> a.compareTo(b) < 0);
-        compareBound("minItems", old, now, to, (a, b) -> a.compareTo(b) < 0);
-        compareBound("minProperties", old, now, to, (a, b) -> a.compareTo(b) < 0);
-        compareBound("maximum", old, now, to, (a, b) -> a.compareTo(b) > 0);
-        compareBound("exclusiveMaximum", old, now, to, (a, b) -> a.compareTo(b) > 0);
-        compareBound("maxLength", old, now, to, (a, b) -> a.compareTo(b) > 0);
-        compareBound("maxItems", old, now, to, (a, b) -> a.compareTo(b) > 0);
-        compareBound("maxProperties", old, now, to, (a, b) -> a.compareTo(b) > 0);
+        compareTypes(oldSchema, newSchema, newResolved);
+        compareBound("minimum", oldSchema, newSchema, newResolved, (a, b) -> a.compareTo(b) < 0);
+        compareBound("exclusiveMinimum", oldSchema, newSchema, newResolved, (a, b) -> a.compareTo(b) < 0);
+        compareBound("minLength", oldSchema, newSchema, newResolved, (a, b) -> a.compareTo(b) < 0);
+        compareBound("minItems", oldSchema, newSchema, newResolved, (a, b) -> a.compareTo(b) < 0);
+        compareBound("minProperties", oldSchema, newSchema, newResolved, (a, b) -> a.compareTo(b) < 0);
+        compareBound("maximum", oldSchema, newSchema, newResolved, (a, b) -> a.compareTo(b) > 0);
+        compareBound("exclusiveMaximum", oldSchema, newSchema, newResolved, (a, b) -> a.compareTo(b) > 0);
+        compareBound("maxLength", oldSchema, newSchema, newResolved, (a, b) -> a.compareTo(b) > 0);
+        compareBound("maxItems", oldSchema, newSchema, newResolved, (a, b) -> a.compareTo(b) > 0);
+        compareBound("maxProperties", oldSchema, newSchema, newResolved, (a, b) -> a.compareTo(b) > 0);
         for (String keyword : List.of("pattern", "format", "multipleOf", "const", "not", "if", "then", "else",
                 "uniqueItems", "dependentRequired", "dependentSchemas", "propertyNames", "contains",
                 "unevaluatedProperties", "patternProperties", "discriminator")) {
-            JsonNode a = keywordValue(old, keyword);
-            JsonNode b = keywordValue(now, keyword);
-            boolean off = b == null || b.isBoolean() && b.booleanValue() == keyword.startsWith("uneval");
-            if (!off && !Objects.equals(a, b)) {
-                addChange(to + '/' + keyword, keyword + (a == null ? " was added" : " has changed"));
+            JsonNode oldValue = keywordValue(oldSchema, keyword);
+            JsonNode newValue = keywordValue(newSchema, keyword);
+            boolean isUnrestricted = newValue == null
+                || newValue.isBoolean() && newValue.booleanValue() == keyword.startsWith("uneval");
+            if (!isUnrestricted && !Objects.equals(oldValue, newValue)) {
+                addChange(newResolved + '/' + keyword, keyword + (oldValue == null ? " was added" : " has changed"));
             }
         }
-        compareEnums(old, now, to);
-        compareMembers(old, now, from, to, depth);
-        compareAlternatives(old, now, from, to, depth);
+        compareEnums(oldSchema, newSchema, newResolved);
+        compareMembers(oldSchema, newSchema, oldResolved, newResolved, depth);
+        compareAlternatives(oldSchema, newSchema, oldResolved, newResolved, depth);
     }
 
-    private static JsonNode keywordValue(JsonNode of, String keyword) {
-        return of == null || !of.isObject() ? null : of.get(keyword);
+    /** Returns the value of a keyword; null if it is absent. */
+    private static JsonNode keywordValue(JsonNode schema, String keyword) {
+        return schema == null || !schema.isObject() ? null : schema.get(keyword);
     }
 
+    /** Returns the types that a schema allows; {@code number} includes {@code integer}. */
     private static Set<String> typesOf(JsonNode schema) {
         JsonNode type = keywordValue(schema, "type");
         Set<String> types = new LinkedHashSet<>();
         if (type == null) {
             types.addAll(TYPES);
         } else if (type.isArray()) {
-            type.forEach(each -> types.add(each.asString("")));
+            type.forEach(name -> types.add(name.asString("")));
         } else {
             types.add(type.asString(""));
         }
@@ -252,115 +267,121 @@
         return types;
     }
 
-    private void compareTypes(JsonNode old, JsonNode now, String at) {
-        Set<String> gone = typesOf(old);
-        gone.removeAll(typesOf(now));
-        if (gone.contains("number") && typesOf(now).contains("integer")) {
-            gone.remove("integer");
+    private void compareTypes(JsonNode oldSchema, JsonNode newSchema, String pointer) {
+        Set<String> removedTypes = typesOf(oldSchema);
+        removedTypes.removeAll(typesOf(newSchema));
+        if (removedTypes.contains("number") && typesOf(newSchema).contains("integer")) {
+            removedTypes.remove("integer");
         }
-        if (!gone.isEmpty()) {
-            addChange(at + "/type", "no longer takes " + gone.stream().sorted().collect(Collectors.joining(", ")));
+        if (!removedTypes.isEmpty()) {
+            addChange(pointer + "/type", "no longer takes " + removedTypes.stream().sorted().collect(Collectors.joining(", ")));
         }
     }
 
-    private void compareBound(String keyword, JsonNode old, JsonNode now, String at,
+    /** Compares a numeric keyword; {@code tighter} says of the old and the new value whether the new one is stricter. */
+    private void compareBound(String keyword, JsonNode oldSchema, JsonNode newSchema, String pointer,
             BiPredicate<BigDecimal, BigDecimal> tighter) {
-        JsonNode a = keywordValue(old, keyword);
-        JsonNode b = keywordValue(now, keyword);
-        if (b == null || Objects.equals(a, b)) {
+        JsonNode oldValue = keywordValue(oldSchema, keyword);
+        JsonNode newValue = keywordValue(newSchema, keyword);
+        if (newValue == null || Objects.equals(oldValue, newValue)) {
             return;
         }
-        if (!b.isNumber()) {
-            if (b.asBoolean(false)) {
-                addChange(at + '/' + keyword, keyword + " was added");
+        if (!newValue.isNumber()) {
+            if (newValue.asBoolean(false)) {
+                addChange(pointer + '/' + keyword, keyword + " was added");
             }
-        } else if (a == null || !a.isNumber() || tighter.test(a.decimalValue(), b.decimalValue())) {
-            addChange(at + '/' + keyword, keyword + " is now " + b);
+        } else if (oldValue == null || !oldValue.isNumber() || tighter.test(oldValue.decimalValue(), newValue.decimalValue())) {
+            addChange(pointer + '/' + keyword, keyword + " is now " + newValue);
         }
     }
 
-    private void compareEnums(JsonNode old, JsonNode now, String at) {
-        JsonNode b = keywordValue(now, "enum");
-        if (b == null) {
+    private void compareEnums(JsonNode oldSchema, JsonNode newSchema, String pointer) {
+        JsonNode newEnum = keywordValue(newSchema, "enum");
+        if (newEnum == null) {
             return;
         }
-        JsonNode a = keywordValue(old, "enum");
-        if (a == null) {
-            JsonNode fixed = keywordValue(old, "const");
-            if (fixed == null || !contains(b, fixed)) {
-                addChange(at + "/enum", "only listed values are taken now");
+        JsonNode oldEnum = keywordValue(oldSchema, "enum");
+        if (oldEnum == null) {
+            JsonNode oldConst = keywordValue(oldSchema, "const");
+            if (oldConst == null || !contains(newEnum, oldConst)) {
+                addChange(pointer + "/enum", "only listed values are taken now");
             }
             return;
         }
-        List<String> gone = new ArrayList<>();
-        a.forEach(value -> {
-            if (!contains(b, value)) {
-                gone.add(value.toString());
+        List<String> removedValues = new ArrayList<>();
+        oldEnum.forEach(value -> {
+            if (!contains(newEnum, value)) {
+                removedValues.add(value.toString());
             }
         });
-        if (!gone.isEmpty()) {
-            addChange(at + "/enum", "no longer takes " + String.join(", ", gone));
+        if (!removedValues.isEmpty()) {
+            addChange(pointer + "/enum", "no longer takes " + String.join(", ", removedValues));
         }
     }
 
     private static boolean contains(JsonNode list, JsonNode value) {
-        for (JsonNode each : list) {
-            if (each.equals(value)) {
+        for (JsonNode element : list) {
+            if (element.equals(value)) {
                 return true;
             }
         }
         return false;
     }
 
-    private void compareMembers(JsonNode old, JsonNode now, String from, String to, int depth) {
-        JsonNode required = keywordValue(now, "required");
-        JsonNode was = keywordValue(old, "required");
-        if (required != null && required.isArray()) {
-            required.forEach(name -> {
-                if (was == null || !contains(was, name)) {
-                    addChange(to + "/required", name.asString("") + " is now required");
+    private void compareMembers(JsonNode oldSchema, JsonNode newSchema, String oldPointer, String newPointer, int depth) {
+        JsonNode newRequired = keywordValue(newSchema, "required");
+        JsonNode oldRequired = keywordValue(oldSchema, "required");
+        if (newRequired != null && newRequired.isArray()) {
+            newRequired.forEach(name -> {
+                if (oldRequired == null || !contains(oldRequired, name)) {
+                    addChange(newPointer + "/required", name.asString("") + " is now required");
                 }
             });
         }
-        JsonNode a = keywordValue(old, "properties");
-        JsonNode b = keywordValue(now, "properties");
-        JsonNode others = keywordValue(now, "additionalProperties");
-        JsonNode othersWere = keywordValue(old, "additionalProperties");
-        if (others != null && others.isBoolean() && !others.booleanValue()
-                && !(othersWere != null && othersWere.isBoolean() && !othersWere.booleanValue())) {
-            addChange(to + "/additionalProperties", "members that are not described are no longer taken");
-        } else if (others != null && others.isObject() && !(othersWere != null && othersWere.isBoolean())) {
-            compareSchemasAt(othersWere == null ? null : from + "/additionalProperties", to + "/additionalProperties", depth + 1);
-        }
-        if (a != null) {
-            for (String name : a.propertyNames()) {
-                if (b != null && b.get(name) != null) {
-                    compareSchemasAt(from + "/properties/" + Json.escapeToken(name), to + "/properties/" + Json.escapeToken(name), depth + 1);
-                } else if (others != null && others.isBoolean() && !others.booleanValue()) {
-                    addChange(to + "/properties", "the member " + name + " is no longer taken");
-                } else if (others != null && others.isObject()) {
-                    compareSchemasAt(from + "/properties/" + Json.escapeToken(name), to + "/additionalProperties", depth + 1);
+        JsonNode oldProperties = keywordValue(oldSchema, "properties");
+        JsonNode newProperties = keywordValue(newSchema, "properties");
+        JsonNode newAdditional = keywordValue(newSchema, "additionalProperties");
+        JsonNode oldAdditional = keywordValue(oldSchema, "additionalProperties");
+        if (newAdditional != null && newAdditional.isBoolean() && !newAdditional.booleanValue()
+                && !(oldAdditional != null && oldAdditional.isBoolean() && !oldAdditional.booleanValue())) {
+            addChange(newPointer + "/additionalProperties", "members that are not described are no longer taken");
+        } else if (newAdditional != null && newAdditional.isObject() && !(oldAdditional != null && oldAdditional.isBoolean())) {
+            compareSchemasAt(oldAdditional == null ? null : oldPointer + "/additionalProperties",
+                newPointer + "/additionalProperties", depth + 1);
+        }
+        if (oldProperties != null) {
+            for (String name : oldProperties.propertyNames()) {
+                if (newProperties != null && newProperties.get(name) != null) {
+                    compareSchemasAt(oldPointer + "/properties/" + Json.escapeToken(name),
+                        newPointer + "/properties/" + Json.escapeToken(name), depth + 1);
+                } else if (newAdditional != null && newAdditional.isBoolean() && !newAdditional.booleanValue()) {
+                    addChange(newPointer + "/properties", "the member " + name + " is no longer taken");
+                } else if (newAdditional != null && newAdditional.isObject()) {
+                    compareSchemasAt(oldPointer + "/properties/" + Json.escapeToken(name),
+                        newPointer + "/additionalProperties", depth + 1);
                 }
             }
         }
-        if (keywordValue(now, "items") != null) {
-            compareSchemasAt(keywordValue(old, "items") == null ? null : from + "/items", to + "/items", depth + 1);
+        if (keywordValue(newSchema, "items") != null) {
+            compareSchemasAt(keywordValue(oldSchema, "items") == null ? null : oldPointer + "/items", newPointer + "/items",
+                depth + 1);
         }
     }
 
-    private void compareAlternatives(JsonNode old, JsonNode now, String from, String to, int depth) {
+    private void compareAlternatives(JsonNode oldSchema, JsonNode newSchema, String oldPointer, String newPointer, int depth) {
         for (String keyword : List.of("allOf", "anyOf", "oneOf", "prefixItems")) {
-            JsonNode a = keywordValue(old, keyword);
-            JsonNode b = keywordValue(now, keyword);
-            if (b == null) {
+            JsonNode oldList = keywordValue(oldSchema, keyword);
+            JsonNode newList = keywordValue(newSchema, keyword);
+            if (newList == null) {
                 continue;
             }
-            boolean narrower = a == null || (keyword.equals("allOf") ? b.size() > a.size() : b.size() < a.size());
-            if (narrower) {
-                addChange(to + '/' + keyword, keyword + (a == null ? " was added" : " has become narrower"));
+            boolean isNarrower = oldList == null
+                || (keyword.equals("allOf") ? newList.size() > oldList.size() : newList.size() < oldList.size());
+            if (isNarrower) {
+                addChange(newPointer + '/' + keyword, keyword + (oldList == null ? " was added" : " has become narrower"));
             }
-            for (int i = 0; a != null && i < Math.min(a.size(), b.size()) && !narrower; i++) {
-                compareSchemasAt(from + '/' + keyword + '/' + i, to + '/' + keyword + '/' + i, depth + 1);
+            for (int i = 0; oldList != null && i < Math.min(oldList.size(), newList.size()) && !isNarrower; i++) {
+                compareSchemasAt(oldPointer + '/' + keyword + '/' + i, newPointer + '/' + keyword + '/' + i, depth + 1);
             }
         }
     }
--- a/src/main/java/badgermux/contract/DescriptionException.java
+++ b/src/main/java/badgermux/contract/DescriptionException.java
@@ -3,20 +3,20 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** A description that can't be used; {@link #problems} holds one entry or more, each with its place. */
+/** Thrown if a description can't be used, with at least one problem. */
 public final class DescriptionException extends Exception {
     private static final long serialVersionUID = 1L;
 
     /**
-     * One reason.
+     * One reason why a description can't be used.
      *
-     * @param document the document's name
-     * @param line     the line in it, counted from 1; 0 where no line can be named
-     * @param pointer  the JSON pointer of the part at fault; empty for the whole
-     * @param reason   what is wrong, in one sentence without its full stop
+     * @param document the name of the document
+     * @param line     the line in the document, counted from 1; 0 if it is not known
+     * @param pointer  the JSON pointer of the value at fault; empty for the whole document
+     * @param reason   the problem in one sentence without a full stop
      */
     public record Problem(String document, int line, String pointer, String reason) {
-        /** {@code document:line: reason}, the form that compilers use. */
+        /** Returns {@code document:line: reason}, the common format of compiler messages. */
         @Override public String toString() {
             return document + ':' + line + ": " + reason + (pointer.isEmpty() ? "" : " (at " + pointer + ')');
         }
--- a/src/main/java/badgermux/contract/DescriptionReader.java
+++ b/src/main/java/badgermux/contract/DescriptionReader.java
@@ -8,21 +8,30 @@
 import java.util.Map;
 import tools.jackson.databind.JsonNode;
 
-/** What the two readers of descriptions share: they go on after a fault, so that all are told at once. */
+/** Base class of the readers of descriptions. A reader goes on after a problem, so that all problems are reported at once. */
 abstract class DescriptionReader {
-    private static final int MAX_PROBLEMS = 50, MAX_SERVER_URLS = 64;
+    private static final int MAX_PROBLEMS = 50;
+    /** The maximum number of URLs that the variables of one server may expand to. */
+    private static final int MAX_SERVER_URLS = 64;
 
+    /** The description that is being read. */
     final ApiDescription description;
     final DocumentBundle bundle;
     final SchemaCompiler schemaCompiler;
     private final List<Problem> problems = new ArrayList<>();
 
-    DescriptionReader(ApiDescription description, DocumentBundle bundle, Dialect dialect, boolean wholeFractions) {
+    /** {@code losslessNarrowing} says whether 1.0 is an integer. */
+    DescriptionReader(ApiDescription description, DocumentBundle bundle, Dialect dialect, boolean losslessNarrowing) {
         this.description = description;
         this.bundle = bundle;
-        schemaCompiler = new SchemaCompiler(bundle, dialect, wholeFractions);
+        schemaCompiler = new SchemaCompiler(bundle, dialect, losslessNarrowing);
     }
 
+    /**
+     * Reads the bundle into the description.
+     *
+     * @throws DescriptionException with the problems found
+     */
     final void read() throws DescriptionException {
         readDescription();
         if (!problems.isEmpty()) {
@@ -30,23 +39,27 @@
         }
     }
 
+    /** Reads the bundle and reports problems with {@link #addProblem}. */
     abstract void readDescription();
 
+    /** Reports why the description can't be used. */
     final void addProblem(String pointer, String reason) {
         if (problems.size() < MAX_PROBLEMS) {
             problems.add(bundle.problemAt(pointer, reason));
         }
     }
 
+    /** Reports a part of the description that is not validated. */
     final void addWarning(String pointer, String reason) {
         description.addWarning(bundle.problemAt(pointer, reason));
     }
 
+    /** Whether the limit of reported problems is reached. */
     final boolean hasMaxProblems() {
         return problems.size() >= MAX_PROBLEMS;
     }
 
-    /** A schema compiled; null where it can't be, which is told. */
+    /** Compiles the schema at a pointer; if it can't be used, reports the problems and returns null. */
     final SchemaCompiler.CompiledSchema compileSchema(String pointer) {
         try {
             return schemaCompiler.compile(pointer);
@@ -58,18 +71,19 @@
         }
     }
 
-    /** A member's text; null where it is absent or no text. */
-    static String stringMember(JsonNode of, String name) {
-        JsonNode value = of == null || !of.isObject() ? null : of.get(name);
+    /** Returns a member of an object if it is a string; null otherwise. */
+    static String stringMember(JsonNode object, String name) {
+        JsonNode value = object == null || !object.isObject() ? null : object.get(name);
         return value != null && value.isString() ? value.stringValue() : null;
     }
 
-    static boolean booleanMember(JsonNode of, String name) {
-        JsonNode value = of.get(name);
+    /** Whether a member of an object is true. */
+    static boolean booleanMember(JsonNode object, String name) {
+        JsonNode value = object.get(name);
         return value != null && value.isBoolean() && value.booleanValue();
     }
 
-    /** The members of an object at a pointer; none where there is no object, which is told if it is something else. */
+    /** Returns the members of the object at a pointer; none if there is no value. Reports a value of another type. */
     final Iterable<Map.Entry<String, JsonNode>> members(String pointer) {
         JsonNode node = bundle.valueAt(pointer);
         if (node != null && !node.isObject()) {
@@ -78,19 +92,24 @@
         return node == null || !node.isObject() ? List.of() : node.properties();
     }
 
-    /** The paths of a server's address, one for each choice of its variables; empty for the root. */
+    /**
+     * Returns the paths of a server's URL, one for each combination of values of its variables, without a trailing slash.
+     *
+     * @param variables the server's variables; null for none
+     * @param pointer   the pointer for problems
+     */
     final List<String> basePaths(String url, JsonNode variables, String pointer) {
         List<String> urls = new ArrayList<>(List.of(url));
-        for (int open = 0; open < urls.size() && urls.size() <= MAX_SERVER_URLS;) {
-            String next = urls.get(open);
-            int brace = next.indexOf('{');
-            int close = next.indexOf('}', brace);
+        for (int index = 0; index < urls.size() && urls.size() <= MAX_SERVER_URLS;) {
+            String template = urls.get(index);
+            int brace = template.indexOf('{');
+            int close = template.indexOf('}', brace);
             if (brace < 0 || close < 0) {
-                open++;
+                index++;
                 continue;
             }
-            urls.remove(open);
-            JsonNode variable = variables == null ? null : variables.get(next.substring(brace + 1, close));
+            urls.remove(index);
+            JsonNode variable = variables == null ? null : variables.get(template.substring(brace + 1, close));
             if (variable == null || stringMember(variable, "default") == null) {
                 addProblem(pointer, "a server's variable has no default");
                 return List.of("");
@@ -102,13 +121,13 @@
                 choices.add(stringMember(variable, "default"));
             }
             for (String choice : choices) {
-                urls.add(open, next.substring(0, brace) + choice + next.substring(close + 1));
+                urls.add(index, template.substring(0, brace) + choice + template.substring(close + 1));
             }
         }
         List<String> paths = new ArrayList<>();
-        for (String each : urls) {
+        for (String address : urls) {
             try {
-                String path = URI.create(each).getPath();
+                String path = URI.create(address).getPath();
                 path = path == null ? "" : path;
                 while (path.endsWith("/")) {
                     path = path.substring(0, path.length() - 1);
@@ -124,7 +143,7 @@
         return paths.isEmpty() ? List.of("") : paths;
     }
 
-    /** Whether a template can be used; what is wrong with it is told. */
+    /** Whether a path template can be used; reports the problem if not. */
     final boolean isValidTemplate(String template, String pointer) {
         String reason = !template.startsWith("/") ? "a path must begin with /"
             : template.indexOf('?') >= 0 || template.indexOf('#') >= 0 ? "a path may hold no query and no fragment"
--- a/src/main/java/badgermux/contract/Document.java
+++ b/src/main/java/badgermux/contract/Document.java
@@ -4,10 +4,14 @@
 import java.util.List;
 import tools.jackson.databind.JsonNode;
 
-/** One document of a description as it came: its name, its bytes and the tree that they hold, JSON or YAML. */
+/** One document of a description in JSON or YAML: its name, its bytes and the parsed tree. */
 public final class Document {
-    /** The longest document, in bytes, the deepest nesting, and how many values there may be. */
-    public static final int MAX_BYTES = 32 << 20, MAX_DEPTH = 200, MAX_VALUES = 4_000_000;
+    /** The longest document, in bytes. */
+    public static final int MAX_BYTES = 32 << 20;
+    /** How deep arrays and objects may nest. */
+    public static final int MAX_DEPTH = 200;
+    /** The maximum number of values in a YAML document, counted at each use of an alias. */
+    public static final int MAX_VALUES = 4_000_000;
 
     private final String name;
     private final byte[] bytes;
@@ -22,9 +26,10 @@
     }
 
     /**
-     * Reads a document. What begins with a brace is JSON, all else YAML 1.2.
+     * Parses a document. Text that begins with a brace is parsed as JSON, any other text as YAML 1.2.
      *
-     * @param name what others refer to it by, such as {@code common.yaml}
+     * @param name the name that references use, such as {@code common.yaml}
+     * @throws DescriptionException if the document can't be parsed
      */
     public static Document read(String name, byte[] bytes) throws DescriptionException {
         if (bytes.length > MAX_BYTES) {
@@ -58,7 +63,7 @@
         return bytes.clone();
     }
 
-    /** Whether it is a description, and not only a part of one. */
+    /** Whether the document is a whole description, not only a part that others refer to. */
     public boolean isDescription() {
         return root.get("openapi") != null || root.get("asyncapi") != null;
     }
@@ -67,12 +72,13 @@
         return root;
     }
 
-    /** The line of the value at a pointer. The text is read again for it: only faults ask. */
+    /** Returns the line of the value at a pointer. Parses the text again, as this is only needed to report problems. */
     int lineOf(String pointer) {
-        List<String> steps = Json.pointerTokens(pointer);
-        return steps == null ? 0 : yaml ? Yaml.lineOf(bytes, steps) : Json.lineOf(bytes, steps);
+        List<String> tokens = Json.pointerTokens(pointer);
+        return tokens == null ? 0 : yaml ? Yaml.lineOf(bytes, tokens) : Json.lineOf(bytes, tokens);
     }
 
+    /** Returns a problem with the line of the value at a pointer. */
     Problem problemAt(String pointer, String reason) {
         return new Problem(name, lineOf(pointer), pointer, reason);
     }
--- a/src/main/java/badgermux/contract/DocumentBundle.java
+++ b/src/main/java/badgermux/contract/DocumentBundle.java
@@ -15,24 +15,29 @@
 import tools.jackson.databind.node.ObjectNode;
 
 /**
- * A description and the documents given with it as one tree, in which each {@code $ref} is a pointer into that tree. The
- * other documents hang under {@value #BUNDLED_KEY}. Whatever refers to something that was not given is refused: nothing is
- * fetched, ever.
+ * A description and its further documents, bundled into one tree in which each {@code $ref} is a pointer into this tree. The
+ * further documents are members of {@value #BUNDLED_KEY}. A reference to a document that was not given is a problem:
+ * documents are never fetched.
  */
 final class DocumentBundle {
     static final String BUNDLED_KEY = "x-bundled";
-    private static final int MAX_REFERENCE_CHAIN = 64, MAX_PROBLEMS = 50;
-    /** Their members are names, not keywords. */
+    /** How many references may lead from one to the next. */
+    private static final int MAX_REFERENCE_CHAIN = 64;
+    private static final int MAX_PROBLEMS = 50;
+    /** Keywords whose value is an object with names as its members, not keywords. */
     private static final Set<String> NAME_MAP_KEYWORDS = Set.of("properties", "patternProperties", "$defs", "definitions",
         "dependentSchemas", "schemas", "responses", "parameters", "requestBodies", "headers", "messages", "channels",
         "paths", "content", "operations", "pathItems", "callbacks", "securitySchemes", "messageTraits",
         "operationTraits", "correlationIds", "links", "variables", "servers", "mapping");
-    /** What they hold is a value and no part of the description. */
+    /** Keywords whose value is plain data, in which {@code $ref} has no meaning. */
     private static final Set<String> VALUE_KEYWORDS = Set.of("example", "examples", "default", "const", "enum");
 
+    /** All given documents, by name. */
     private final Map<String, Document> documents = new LinkedHashMap<>();
+    /** For each referenced document other than the primary one, whether it is already part of the tree. */
     private final Map<String, Boolean> rewrittenByName = new LinkedHashMap<>();
     private final List<Problem> problems = new ArrayList<>();
+    /** The rewritten target of each reference, by the pointer of the object that holds the reference. */
     private final Map<String, String> referenceTargets = new HashMap<>();
     private final Document primary;
     private JsonNode root;
@@ -43,7 +48,11 @@
         others.forEach(document -> documents.putIfAbsent(document.name(), document));
     }
 
-    /** Joins them; the first problems are all told at once. */
+    /**
+     * Bundles documents.
+     *
+     * @throws DescriptionException if a reference can't be used, with all problems found
+     */
     static DocumentBundle of(Document primary, List<Document> others) throws DescriptionException {
         DocumentBundle bundle = new DocumentBundle(primary, others);
         bundle.joinDocuments();
@@ -57,10 +66,11 @@
     private void joinDocuments() {
         ObjectNode joined = (ObjectNode) rewriteReferences(primary, primary.root(), "", "", false);
         Map<String, JsonNode> parts = new LinkedHashMap<>();
-        for (String next = nextUnwritten(); next != null; next = nextUnwritten()) {
-            rewrittenByName.put(next, true);
-            Document document = documents.get(next);
-            parts.put(next, rewriteReferences(document, document.root(), "", '/' + BUNDLED_KEY + '/' + Json.escapeToken(next), false));
+        for (String name = nextUnwritten(); name != null; name = nextUnwritten()) {
+            rewrittenByName.put(name, true);
+            Document document = documents.get(name);
+            parts.put(name, rewriteReferences(document, document.root(), "",
+                '/' + BUNDLED_KEY + '/' + Json.escapeToken(name), false));
         }
         if (!parts.isEmpty()) {
             joined = joined.deepCopy();
@@ -71,16 +81,25 @@
         root = joined;
     }
 
+    /** Returns the name of a referenced document that is not part of the tree yet; null if there is none. */
     private String nextUnwritten() {
-        return rewrittenByName.entrySet().stream().filter(e -> !e.getValue()).map(Map.Entry::getKey).findFirst().orElse(null);
+        return rewrittenByName.entrySet().stream().filter(entry -> !entry.getValue()).map(Map.Entry::getKey).findFirst()
+            .orElse(null);
     }
 
-    /** The same tree with its references turned into pointers; what needs no change is not copied. */
-    private JsonNode rewriteReferences(Document in, JsonNode node, String pointer, String prefix, boolean names) {
+    /**
+     * Returns a subtree with each reference rewritten to a pointer into the bundle. Values without a reference are not copied.
+     *
+     * @param document  the document that holds the subtree
+     * @param pointer   the pointer of {@code node} in this document
+     * @param prefix    the pointer of the document in the bundle
+     * @param isNameMap whether the members of {@code node} are names, not keywords
+     */
+    private JsonNode rewriteReferences(Document document, JsonNode node, String pointer, String prefix, boolean isNameMap) {
         if (node instanceof ArrayNode array) {
             ArrayNode copy = null;
             for (int i = 0; i < array.size(); i++) {
-                JsonNode item = rewriteReferences(in, array.get(i), pointer + '/' + i, prefix, false);
+                JsonNode item = rewriteReferences(document, array.get(i), pointer + '/' + i, prefix, false);
                 if (item != array.get(i)) {
                     copy = copy == null ? array.deepCopy() : copy;
                     copy.set(i, item);
@@ -95,31 +114,34 @@
         for (Map.Entry<String, JsonNode> member : object.properties()) {
             String key = member.getKey();
             JsonNode value = member.getValue();
-            String at = pointer + '/' + Json.escapeToken(key);
-            JsonNode changed = value;
-            if (!names && key.equals("$ref") && value.isString()) {
-                String target = resolveReference(in, value.stringValue(), at);
+            String memberPointer = pointer + '/' + Json.escapeToken(key);
+            JsonNode rewritten = value;
+            if (!isNameMap && key.equals("$ref") && value.isString()) {
+                String target = resolveReference(document, value.stringValue(), memberPointer);
                 referenceTargets.put(prefix + pointer, target);
-                changed = target.equals(value.stringValue()) ? value : JsonNodeFactory.instance.stringNode(target);
-            } else if (!names && key.equals("$id") && value.isString()) {
-                problemAt(in, at, "$id is not supported: it would move what references lead to");
-            } else if (names || !VALUE_KEYWORDS.contains(key)) {
-                changed = rewriteReferences(in, value, at, prefix, !names && NAME_MAP_KEYWORDS.contains(key));
+                rewritten = target.equals(value.stringValue()) ? value : JsonNodeFactory.instance.stringNode(target);
+            } else if (!isNameMap && key.equals("$id") && value.isString()) {
+                addProblem(document, memberPointer, "$id is not supported: it would move what references lead to");
+            } else if (isNameMap || !VALUE_KEYWORDS.contains(key)) {
+                rewritten = rewriteReferences(document, value, memberPointer, prefix,
+                    !isNameMap && NAME_MAP_KEYWORDS.contains(key));
             }
-            if (changed != value) {
+            if (rewritten != value) {
                 copy = copy == null ? shallowCopy(object) : copy;
-                copy.set(key, changed);
+                copy.set(key, rewritten);
             }
         }
-        return names || !(object.get("discriminator") instanceof ObjectNode discriminator) ? copy == null ? object : copy
-            : replaceDiscriminator(in, copy == null ? shallowCopy(object) : copy, discriminator, pointer + "/discriminator");
+        return isNameMap || !(object.get("discriminator") instanceof ObjectNode discriminator) ? copy == null ? object : copy
+            : replaceDiscriminator(document, copy == null ? shallowCopy(object) : copy, discriminator,
+                pointer + "/discriminator");
     }
 
     /**
-     * A discriminator in words that every validator knows: the property must be there and name an alternative, and then
-     * that alternative holds. OpenAPI leaves it open whether a discriminator is more than a hint; here it chooses.
+     * Replaces a discriminator by keywords that every validator supports: the property is required and must name an
+     * alternative, and the value must then conform to this alternative. OpenAPI does not say whether a discriminator is more
+     * than a hint; here it selects the schema.
      */
-    private ObjectNode replaceDiscriminator(Document in, ObjectNode schema, ObjectNode discriminator, String pointer) {
+    private ObjectNode replaceDiscriminator(Document document, ObjectNode schema, ObjectNode discriminator, String pointer) {
         JsonNode property = discriminator.get("propertyName");
         JsonNode alternatives = schema.get("oneOf") != null ? schema.get("oneOf") : schema.get("anyOf");
         if (property == null || !property.isString() || alternatives == null || !alternatives.isArray()) {
@@ -129,35 +151,37 @@
         Set<String> mapped = new HashSet<>();
         if (discriminator.get("mapping") instanceof ObjectNode mapping) {
             for (Map.Entry<String, JsonNode> entry : mapping.properties()) {
-                String to = entry.getValue().asString("");
-                String reference = to.matches("[A-Za-z0-9._-]+") && !documents.containsKey(to)
-                    ? "#/components/schemas/" + to : to;
-                targets.put(entry.getKey(), resolveReference(in, reference, pointer + "/mapping/" + Json.escapeToken(entry.getKey())));
+                String mappedTo = entry.getValue().asString("");
+                String reference = mappedTo.matches("[A-Za-z0-9._-]+") && !documents.containsKey(mappedTo)
+                    ? "#/components/schemas/" + mappedTo : mappedTo;
+                targets.put(entry.getKey(),
+                    resolveReference(document, reference, pointer + "/mapping/" + Json.escapeToken(entry.getKey())));
                 mapped.add(targets.get(entry.getKey()));
             }
         }
         for (JsonNode alternative : alternatives) {
-            JsonNode to = alternative.isObject() ? alternative.get("$ref") : null;
-            if (to != null && to.isString() && !mapped.contains(to.stringValue())) {
-                String text = to.stringValue();
-                targets.putIfAbsent(text.substring(text.lastIndexOf('/') + 1), text);
+            JsonNode reference = alternative.isObject() ? alternative.get("$ref") : null;
+            if (reference != null && reference.isString() && !mapped.contains(reference.stringValue())) {
+                String target = reference.stringValue();
+                targets.putIfAbsent(target.substring(target.lastIndexOf('/') + 1), target);
             }
         }
         JsonNodeFactory nodes = JsonNodeFactory.instance;
-        ArrayNode all = schema.get("allOf") instanceof ArrayNode own ? own.deepCopy() : nodes.arrayNode();
+        ArrayNode allOf = schema.get("allOf") instanceof ArrayNode own ? own.deepCopy() : nodes.arrayNode();
         String name = property.stringValue();
-        all.add(requirePropertyIn(name, targets.keySet()));
+        allOf.add(requirePropertyIn(name, targets.keySet()));
         targets.forEach((value, target) -> {
-            ObjectNode either = nodes.objectNode();
-            either.putArray("anyOf").add(nodes.objectNode().set("not", requirePropertyIn(name, Set.of(value))))
+            ObjectNode conditional = nodes.objectNode();
+            conditional.putArray("anyOf").add(nodes.objectNode().set("not", requirePropertyIn(name, Set.of(value))))
                 .add(nodes.objectNode().put("$ref", target));
-            all.add(either);
+            allOf.add(conditional);
         });
         schema.remove("discriminator");
-        schema.set("allOf", all);
+        schema.set("allOf", allOf);
         return schema;
     }
 
+    /** Returns a schema that requires a property to have one of the values. */
     private static ObjectNode requirePropertyIn(String name, Set<String> values) {
         ObjectNode schema = JsonNodeFactory.instance.objectNode();
         schema.putArray("required").add(name);
@@ -172,36 +196,40 @@
         return copy;
     }
 
-    private void problemAt(Document in, String pointer, String reason) {
+    private void addProblem(Document document, String pointer, String reason) {
         if (problems.size() < MAX_PROBLEMS) {
-            problems.add(in.problemAt(pointer, reason));
+            problems.add(document.problemAt(pointer, reason));
         }
     }
 
-    /** The reference as a pointer into the joined tree, beginning with #. */
-    private String resolveReference(Document in, String reference, String pointer) {
+    /**
+     * Returns a reference as a pointer into the bundle, beginning with #. Adds the document that it refers to. If the
+     * reference can't be used, reports a problem and returns the root.
+     */
+    private String resolveReference(Document document, String reference, String pointer) {
         int hash = reference.indexOf('#');
-        String file = hash < 0 ? reference : reference.substring(0, hash);
+        String documentName = hash < 0 ? reference : reference.substring(0, hash);
         String fragment = hash < 0 ? "" : reference.substring(hash + 1);
-        String name = in.name();
-        if (!file.isEmpty()) {
+        String name = document.name();
+        if (!documentName.isEmpty()) {
             try {
-                URI uri = URI.create(file);
+                URI uri = URI.create(documentName);
                 if (uri.getScheme() != null || uri.getAuthority() != null) {
-                    problemAt(in, pointer, "$ref leads to a remote address: nothing is fetched");
+                    addProblem(document, pointer, "$ref leads to a remote address: nothing is fetched");
                     return "#";
                 }
-                name = URI.create(in.name().replace(' ', '+')).resolve(uri).getPath();
+                name = URI.create(document.name().replace(' ', '+')).resolve(uri).getPath();
             } catch (IllegalArgumentException e) {
-                name = file;
+                name = documentName;
             }
             if (!documents.containsKey(name)) {
-                problemAt(in, pointer, "$ref leads to a document that was not given: " + Fault.truncateName(file));
+                addProblem(document, pointer,
+                    "$ref leads to a document that was not given: " + Fault.truncateName(documentName));
                 return "#";
             }
         }
         if (!fragment.isEmpty() && !fragment.startsWith("/")) {
-            problemAt(in, pointer, "$ref is no JSON pointer; anchors are not supported");
+            addProblem(document, pointer, "$ref is no JSON pointer; anchors are not supported");
             return "#";
         }
         if (name.equals(primary.name())) {
@@ -211,29 +239,29 @@
         return "#/" + BUNDLED_KEY + '/' + Json.escapeToken(name) + fragment;
     }
 
-    /** Each reference leads somewhere, and no chain of them leads back to itself. */
+    /** Checks that each reference has a target, and that no chain of references is circular. */
     private void checkReferences() {
         for (Map.Entry<String, String> reference : referenceTargets.entrySet()) {
             Set<String> seen = new HashSet<>();
-            JsonNode at = root;
+            JsonNode value = root;
             String target = reference.getValue();
-            while (at != null && target != null && problems.isEmpty()) {
-                List<String> steps = referenceTokens(target);
-                at = steps == null ? null : Json.valueAt(root, steps);
-                if (at == null) {
+            while (value != null && target != null && problems.isEmpty()) {
+                List<String> tokens = referenceTokens(target);
+                value = tokens == null ? null : Json.valueAt(root, tokens);
+                if (value == null) {
                     problems.add(problemAt(reference.getKey() + "/$ref", "$ref leads nowhere: " + Fault.truncateName(target)));
                 } else if (!seen.add(target) || seen.size() > MAX_REFERENCE_CHAIN) {
                     problems.add(problemAt(reference.getKey() + "/$ref", "$ref leads back to itself"));
-                    at = null;
+                    value = null;
                 } else {
-                    target = at.isObject() && at.get("$ref") != null && at.get("$ref").isString()
-                        ? at.get("$ref").stringValue() : null;
+                    target = value.isObject() && value.get("$ref") != null && value.get("$ref").isString()
+                        ? value.get("$ref").stringValue() : null;
                 }
             }
         }
     }
 
-    /** The steps of a reference's pointer, percent-encoding undone; null where it is none. */
+    /** Returns the percent-decoded tokens of a reference's pointer; null if it is not a pointer into the same document. */
     static List<String> referenceTokens(String reference) {
         if (!reference.startsWith("#")) {
             return null;
@@ -254,28 +282,28 @@
         return primary.name();
     }
 
-    /** The value at a pointer; null where there is none. */
+    /** Returns the value at a pointer; null if there is none. */
     JsonNode valueAt(String pointer) {
         return Json.valueAt(root, Json.pointerTokens(pointer));
     }
 
-    /** Where a value really stands: its own pointer, or that to which its references lead. */
+    /** Follows references: returns the pointer itself, or the pointer to which the references at it lead. */
     String resolve(String pointer) {
-        String at = pointer;
+        String current = pointer;
         for (int i = 0; i < MAX_REFERENCE_CHAIN; i++) {
-            JsonNode node = valueAt(at);
+            JsonNode node = valueAt(current);
             JsonNode reference = node == null || !node.isObject() ? null : node.get("$ref");
             if (reference == null || !reference.isString()) {
-                return at;
+                return current;
             }
-            StringBuilder next = new StringBuilder();
-            referenceTokens(reference.stringValue()).forEach(step -> next.append('/').append(Json.escapeToken(step)));
-            at = next.toString();
+            StringBuilder target = new StringBuilder();
+            referenceTokens(reference.stringValue()).forEach(token -> target.append('/').append(Json.escapeToken(token)));
+            current = target.toString();
         }
-        return at;
+        return current;
     }
 
-    /** A problem at a place of the joined tree, told by the document that it came from. */
+    /** Returns a problem at a pointer into the bundle, located in the document that the value comes from. */
     Problem problemAt(String pointer, String reason) {
         String prefix = '/' + BUNDLED_KEY + '/';
         if (pointer.startsWith(prefix)) {
--- a/src/main/java/badgermux/contract/ExpectedType.java
+++ b/src/main/java/badgermux/contract/ExpectedType.java
@@ -10,36 +10,42 @@
 import tools.jackson.databind.node.JsonNodeFactory;
 
 /**
- * What kind of value a schema asks for: all that is needed to read text, which has no types, as JSON. References and the
- * branches of allOf, anyOf and oneOf are looked through.
+ * The JSON types that a schema expects, used to coerce untyped text such as a parameter to a JSON value. Follows references
+ * and merges the branches of allOf, anyOf and oneOf.
  */
 final class ExpectedType {
     /** The types of JSON Schema. */
     enum JsonType { NULL, BOOLEAN, INTEGER, NUMBER, STRING, ARRAY, OBJECT }
 
-    /** Text holds values in values in a value at the most, and schemas that are joined may be joined themselves. */
-    private static final int MAX_NESTING = 2, MAX_BRANCH_DEPTH = 8;
+    /** How deep properties and items are read. Text holds at most an object of arrays of plain values. */
+    private static final int MAX_NESTING = 2;
+    /** How deep allOf, anyOf and oneOf may nest in each other; deeper branches are ignored. */
+    private static final int MAX_BRANCH_DEPTH = 8;
 
     private final Set<JsonType> types = EnumSet.noneOf(JsonType.class);
     private final Map<String, ExpectedType> properties = new HashMap<>();
+    /** The type of array items; null if not described. */
     private ExpectedType items;
+    /** The type of all other properties; null if not described. */
     private ExpectedType additionalProperties;
 
-    /** Text of which nothing more is known. */
+    /** No expectation: text stays a string. */
     static final ExpectedType ANY = new ExpectedType();
 
     private ExpectedType() { }
 
+    /** Returns the type that the schema at a pointer expects. */
     static ExpectedType of(DocumentBundle bundle, String pointer) {
-        ExpectedType shape = new ExpectedType();
-        shape.addSchema(bundle, pointer, 0, 0);
-        return shape;
+        ExpectedType expectedType = new ExpectedType();
+        expectedType.addSchema(bundle, pointer, 0, 0);
+        return expectedType;
     }
 
-    private void addSchema(DocumentBundle bundle, String pointer, int nested, int joined) {
-        String at = bundle.resolve(pointer);
-        JsonNode schema = bundle.valueAt(at);
-        if (schema == null || !schema.isObject() || nested > MAX_NESTING || joined > MAX_BRANCH_DEPTH) {
+    /** Adds the expectations of one schema to this type. Types are taken from enum or const if {@code type} is absent. */
+    private void addSchema(DocumentBundle bundle, String pointer, int nestingDepth, int branchDepth) {
+        String schemaPointer = bundle.resolve(pointer);
+        JsonNode schema = bundle.valueAt(schemaPointer);
+        if (schema == null || !schema.isObject() || nestingDepth > MAX_NESTING || branchDepth > MAX_BRANCH_DEPTH) {
             return;
         }
         JsonNode type = schema.get("type");
@@ -64,32 +70,32 @@
                 types.add(JsonType.OBJECT);
             }
             for (String name : schema.get("properties").propertyNames()) {
-                properties.computeIfAbsent(name, n -> new ExpectedType())
-                    .addSchema(bundle, at + "/properties/" + Json.escapeToken(name), nested + 1, joined);
+                properties.computeIfAbsent(name, key -> new ExpectedType())
+                    .addSchema(bundle, schemaPointer + "/properties/" + Json.escapeToken(name), nestingDepth + 1, branchDepth);
             }
         }
         if (schema.has("additionalProperties") && schema.get("additionalProperties").isObject()) {
             additionalProperties = additionalProperties == null ? new ExpectedType() : additionalProperties;
-            additionalProperties.addSchema(bundle, at + "/additionalProperties", nested + 1, joined);
+            additionalProperties.addSchema(bundle, schemaPointer + "/additionalProperties", nestingDepth + 1, branchDepth);
         }
         if (schema.has("items")) {
             if (type == null) {
                 types.add(JsonType.ARRAY);
             }
             items = items == null ? new ExpectedType() : items;
-            items.addSchema(bundle, at + "/items", nested + 1, joined);
+            items.addSchema(bundle, schemaPointer + "/items", nestingDepth + 1, branchDepth);
         }
         for (String branch : List.of("allOf", "anyOf", "oneOf")) {
             for (int i = 0; schema.has(branch) && i < schema.get(branch).size(); i++) {
-                addSchema(bundle, at + '/' + branch + '/' + i, nested, joined + 1);
+                addSchema(bundle, schemaPointer + '/' + branch + '/' + i, nestingDepth, branchDepth + 1);
             }
         }
     }
 
     private void addType(JsonNode name) {
-        for (JsonType known : JsonType.values()) {
-            if (name.isString() && known.name().toLowerCase(Locale.ROOT).equals(name.stringValue())) {
-                types.add(known);
+        for (JsonType type : JsonType.values()) {
+            if (name.isString() && type.name().toLowerCase(Locale.ROOT).equals(name.stringValue())) {
+                types.add(type);
             }
         }
     }
@@ -102,24 +108,30 @@
         return types.contains(JsonType.OBJECT);
     }
 
+    /** Returns the type of array items; without expectations if it is not described. */
     ExpectedType items() {
         return items == null ? new ExpectedType() : items;
     }
 
+    /** Returns the type of a property; without expectations if it is not described. */
     ExpectedType property(String name) {
-        ExpectedType shape = properties.getOrDefault(name, additionalProperties);
-        return shape == null ? new ExpectedType() : shape;
+        ExpectedType propertyType = properties.getOrDefault(name, additionalProperties);
+        return propertyType == null ? new ExpectedType() : propertyType;
     }
 
-    /** The members that the schema names. */
+    /** Returns the names of the described properties. */
     Set<String> propertyNames() {
         return properties.keySet();
     }
 
-    /** Text as a value; {@code strings} says that a string is preferred where the schema takes one. */
-    JsonNode coerce(String text, boolean strings) {
+    /**
+     * Converts text to a JSON value of an expected type, or to a string if it fits none.
+     *
+     * @param preferStrings whether to return a string if the schema allows one
+     */
+    JsonNode coerce(String text, boolean preferStrings) {
         JsonNodeFactory nodes = JsonNodeFactory.instance;
-        if (strings && types.contains(JsonType.STRING)) {
+        if (preferStrings && types.contains(JsonType.STRING)) {
             return nodes.stringNode(text);
         }
         if (types.contains(JsonType.BOOLEAN) && (text.equals("true") || text.equals("false"))) {
--- a/src/main/java/badgermux/contract/Fault.java
+++ b/src/main/java/badgermux/contract/Fault.java
@@ -1,16 +1,16 @@
 package badgermux.contract;
 
 /**
- * One thing that a message does not keep to. The words are made from the description, never from the message, but for
- * names of at most {@link #MAX_NAME_LENGTH} characters in the pointer.
+ * One violation of a contract by a message. Its texts are made from the description, not from the message, except for names
+ * of at most {@link #MAX_NAME_LENGTH} characters in the pointer.
  *
- * @param in      where: {@code body}, {@code path}, {@code query}, {@code header} or {@code cookie}
- * @param pointer the JSON pointer (RFC 6901) of the value in there
- * @param keyword the rule's keyword, of JSON Schema where it has one
+ * @param in      the part of the message: {@code body}, {@code path}, {@code query}, {@code header} or {@code cookie}
+ * @param pointer the JSON pointer (RFC 6901) of the value in this part
+ * @param keyword the violated keyword of JSON Schema, or a name for another rule
  * @param message what was expected, in one sentence
  */
 public record Fault(String in, String pointer, String keyword, String message) {
-    /** So many characters of a client's own may come back to it. */
+    /** The longest name from a message, in characters, that may be sent back to the client. */
     public static final int MAX_NAME_LENGTH = 64;
     private static final int MAX_MESSAGE_LENGTH = 200;
 
@@ -23,16 +23,17 @@
         return new Fault("body", pointer, keyword, message);
     }
 
-    /** A client's name, cut where it is too long to be sent back. */
+    /** Truncates a name from a message to the length that may be sent back. */
     static String truncateName(String name) {
         return truncate(name, MAX_NAME_LENGTH);
     }
 
-    private static String truncate(String text, int most) {
-        if (text.length() <= most) {
+    /** Truncates text to at most {@code maxLength} characters, of which the last is an ellipsis; keeps surrogate pairs whole. */
+    private static String truncate(String text, int maxLength) {
+        if (text.length() <= maxLength) {
             return text;
         }
-        int end = Character.isHighSurrogate(text.charAt(most - 2)) ? most - 2 : most - 1;
+        int end = Character.isHighSurrogate(text.charAt(maxLength - 2)) ? maxLength - 2 : maxLength - 1;
         return text.substring(0, end) + '\u2026';
     }
 }
--- a/src/main/java/badgermux/contract/FaultMessages.java
+++ b/src/main/java/badgermux/contract/FaultMessages.java
@@ -6,10 +6,14 @@
 import java.util.stream.StreamSupport;
 import tools.jackson.databind.JsonNode;
 
-/** What a fault is told in: the rule in the description's own figures, never the client's value. */
+/** Messages of faults. They state the rule with the values of the schema, and never contain a value of the client. */
 final class FaultMessages {
+    /** How many elements of an array, such as the values of an enum, a message lists. */
+    private static final int MAX_ELEMENTS = 9;
+
     private FaultMessages() { }
 
+    /** Returns the message for an error of the validator. */
     static String describe(Error error) {
         JsonNode rule = error.getSchemaNode();
         JsonNode value = error.getInstanceNode();
@@ -50,12 +54,13 @@
         };
     }
 
+    /** Returns the value of a keyword as text; of an array, its first elements. */
     private static String format(JsonNode rule) {
         if (rule == null) {
             return "as described";
         }
         if (rule.isArray()) {
-            return StreamSupport.stream(rule.spliterator(), false).limit(9).map(FaultMessages::format)
+            return StreamSupport.stream(rule.spliterator(), false).limit(MAX_ELEMENTS).map(FaultMessages::format)
                 .collect(Collectors.joining(", "));
         }
         return rule.isString() ? rule.stringValue() : rule.toString();
--- a/src/main/java/badgermux/contract/HttpRequest.java
+++ b/src/main/java/badgermux/contract/HttpRequest.java
@@ -3,17 +3,16 @@
 import java.util.List;
 
 /**
- * A request as it is judged.
+ * A request to validate.
  *
- * @param method  the method
- * @param target  the target as it came: a path, and a query where there is one
- * @param headers the header lines; chars are bytes
- * @param body    the body, framing taken off; empty for none
+ * @param target  the request target as received: a path and an optional query
+ * @param headers the headers, whose chars are bytes
+ * @param body    the body without its transfer coding; empty for none
  */
 public record HttpRequest(String method, String target, Headers headers, byte[] body) {
-    /** A message's header lines. */
+    /** The headers of a message. */
     public interface Headers {
-        /** The values of one, in their order; its name in any case. */
+        /** Returns the values of a header in their order; {@code name} is not case-sensitive. */
         List<String> values(String name);
     }
 }
--- a/src/main/java/badgermux/contract/Json.java
+++ b/src/main/java/badgermux/contract/Json.java
@@ -19,34 +19,38 @@
 import tools.jackson.databind.node.ObjectNode;
 
 /**
- * Reads JSON (RFC 8259) strictly, so that no other reader can take the same bytes for something else: UTF-8 without a
- * byte order mark, no name twice in an object, no half of a surrogate pair, nothing behind the value, and all of it
- * bounded. Jackson's streaming parser does the lexing.
+ * Parses JSON (RFC 8259) strictly, so that a backend's parser can't interpret the same bytes differently: UTF-8 without a
+ * byte order mark, no duplicate names in an object, no unpaired surrogates, no trailing content, and bounds on nesting,
+ * numbers and strings. Jackson's streaming parser does the lexing. Also resolves JSON pointers (RFC 6901).
  */
 final class Json {
     /** How deep arrays and objects may nest in a message. */
     static final int MAX_DEPTH = 64;
-    /** The digits of a number, and the size of its exponent: a figure beyond them costs more than it says. */
-    static final int MAX_NUMBER_LENGTH = 128, MAX_EXPONENT = 512;
+    /** The longest number, in characters. Larger numbers cost more to process than they are worth. */
+    static final int MAX_NUMBER_LENGTH = 128;
+    /** The largest absolute value of a number's decimal exponent and scale. */
+    static final int MAX_EXPONENT = 512;
 
     private static final JsonNodeFactory NODES = JsonNodeFactory.instance;
+    /** For messages: strings and names of up to 64 Ki characters. */
     private static final JsonFactory MESSAGE_FACTORY = newFactory(MAX_DEPTH, 64 << 10);
+    /** For descriptions: strings and names of up to 4 Mi characters, and deeper nesting. */
     private static final JsonFactory DOCUMENT_FACTORY = newFactory(Document.MAX_DEPTH, 4 << 20);
 
     private Json() { }
 
-    private static JsonFactory newFactory(int depth, int longest) {
-        return JsonFactory.builder().streamReadConstraints(StreamReadConstraints.builder().maxNestingDepth(depth)
-            .maxNumberLength(MAX_NUMBER_LENGTH).maxStringLength(longest).maxNameLength(longest).build())
+    private static JsonFactory newFactory(int maxDepth, int maxStringLength) {
+        return JsonFactory.builder().streamReadConstraints(StreamReadConstraints.builder().maxNestingDepth(maxDepth)
+            .maxNumberLength(MAX_NUMBER_LENGTH).maxStringLength(maxStringLength).maxNameLength(maxStringLength).build())
             .build();
     }
 
-    /** A message's value. */
+    /** Parses a message. */
     static JsonNode parseMessage(byte[] bytes) throws SyntaxException {
         return parse(MESSAGE_FACTORY, bytes);
     }
 
-    /** A description's tree, whose bounds are wider. */
+    /** Parses a document of a description, within wider bounds. */
     static JsonNode parseDocument(byte[] bytes) throws SyntaxException {
         return parse(DOCUMENT_FACTORY, bytes);
     }
@@ -69,33 +73,36 @@
         }
     }
 
-    /** The line on which the value at a pointer begins; the nearest one above it where the text has none there. */
-    static int lineOf(byte[] bytes, List<String> pointer) {
+    /**
+     * Returns the line on which the value at a pointer begins, counted from 1. If there is no such value, returns the line of
+     * the nearest enclosing one.
+     */
+    static int lineOf(byte[] bytes, List<String> tokens) {
         int line = 1;
         try (JsonParser parser = DOCUMENT_FACTORY.createParser(ObjectReadContext.empty(), bytes)) {
             parser.nextToken();
-            for (String step : pointer) {
+            for (String token : tokens) {
                 line = lineNumber(parser);
-                boolean object = parser.currentToken() == JsonToken.START_OBJECT;
-                if (!object && parser.currentToken() != JsonToken.START_ARRAY) {
+                boolean isObject = parser.currentToken() == JsonToken.START_OBJECT;
+                if (!isObject && parser.currentToken() != JsonToken.START_ARRAY) {
                     return line;
                 }
                 int index = 0;
-                JsonToken token = parser.nextToken();
-                while (token != null && !token.isStructEnd()
-                        && !(object ? parser.currentName() : String.valueOf(index)).equals(step)) {
-                    if (object) {
+                JsonToken jsonToken = parser.nextToken();
+                while (jsonToken != null && !jsonToken.isStructEnd()
+                        && !(isObject ? parser.currentName() : String.valueOf(index)).equals(token)) {
+                    if (isObject) {
                         parser.nextToken();
                     }
                     parser.skipChildren();
-                    token = parser.nextToken();
+                    jsonToken = parser.nextToken();
                     index++;
                 }
-                if (token == null || token.isStructEnd()) {
+                if (jsonToken == null || jsonToken.isStructEnd()) {
                     return line;
                 }
                 line = lineNumber(parser);
-                if (object) {
+                if (isObject) {
                     parser.nextToken();
                 }
             }
@@ -113,7 +120,7 @@
         return e.getLocation() == null ? 0 : Math.max(0, e.getLocation().getLineNr());
     }
 
-    /** Guards against other encodings, which the parser would guess, and against overlong or broken sequences. */
+    /** Refuses anything but valid UTF-8. Jackson would detect other encodings and accept some malformed sequences. */
     private static void checkEncoding(byte[] bytes) throws SyntaxException {
         if (bytes.length > 2 && (bytes[0] & 0xff) == 0xef && (bytes[1] & 0xff) == 0xbb && (bytes[2] & 0xff) == 0xbf) {
             throw new SyntaxException(1, "a byte order mark stands before the JSON value");
@@ -130,7 +137,7 @@
         }
     }
 
-    /** Strictly decoded UTF-8. */
+    /** Decodes UTF-8 and refuses malformed sequences. */
     static String decodeUtf8(byte[] bytes) throws SyntaxException {
         try {
             return StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(bytes)).toString();
@@ -146,7 +153,7 @@
                 while (parser.nextToken() != JsonToken.END_OBJECT) {
                     String name = checkSurrogates(parser, parser.currentName());
                     parser.nextToken();
-                    // The parser's own check of this costs a third of the reading.
+                    // Jackson's own detection of duplicates takes a third of the parsing time.
                     if (object.has(name)) {
                         throw new SyntaxException(lineNumber(parser), "a name stands twice in one object");
                     }
@@ -187,7 +194,7 @@
         }
     }
 
-    /** A number with a fraction or an exponent, exactly as it is written; -1 as the line where it is not known. */
+    /** Parses a number without loss of precision; {@code line} is reported with an error, 0 if it is not known. */
     static JsonNode parseNumber(String text, int line) throws SyntaxException {
         BigDecimal number;
         try {
@@ -195,7 +202,7 @@
         } catch (NumberFormatException e) {
             number = null;
         }
-        // Guards against 1e999999999, whose digits would be written out by the first comparison.
+        // Comparing a number such as 1e999999999 would expand all its digits.
         if (number == null || Math.abs((long) number.precision() - number.scale()) > MAX_EXPONENT
                 || Math.abs((long) number.scale()) > MAX_EXPONENT) {
             throw new SyntaxException(line, "a number is out of bounds");
@@ -203,6 +210,7 @@
         return NODES.numberNode(number);
     }
 
+    /** Returns the text if it has no unpaired surrogates. */
     private static String checkSurrogates(JsonParser parser, String text) throws SyntaxException {
         for (int i = 0; i < text.length(); i++) {
             if (Character.isSurrogate(text.charAt(i))) {
@@ -216,41 +224,41 @@
         return text;
     }
 
-    /** The steps of a JSON pointer (RFC 6901); null where it is none. */
+    /** Returns the unescaped reference tokens of a JSON pointer (RFC 6901); null if the text is not a pointer. */
     static List<String> pointerTokens(String pointer) {
-        List<String> steps = new ArrayList<>();
+        List<String> tokens = new ArrayList<>();
         if (pointer.isEmpty()) {
-            return steps;
+            return tokens;
         }
         if (pointer.charAt(0) != '/') {
             return null;
         }
-        for (String step : pointer.substring(1).split("/", -1)) {
-            steps.add(step.replace("~1", "/").replace("~0", "~"));
+        for (String token : pointer.substring(1).split("/", -1)) {
+            tokens.add(token.replace("~1", "/").replace("~0", "~"));
         }
-        return steps;
+        return tokens;
     }
 
-    /** One step as it stands in a pointer. */
-    static String escapeToken(String name) {
-        return name.replace("~", "~0").replace("/", "~1");
+    /** Escapes a reference token of a JSON pointer. */
+    static String escapeToken(String token) {
+        return token.replace("~", "~0").replace("/", "~1");
     }
 
-    /** The value at a pointer's steps; null where there is none. */
-    static JsonNode valueAt(JsonNode root, List<String> steps) {
-        JsonNode at = root;
-        for (String step : steps) {
-            if (at instanceof ObjectNode object) {
-                at = object.get(step);
-            } else if (at instanceof ArrayNode array && step.matches("0|[1-9][0-9]{0,8}")) {
-                at = array.get(Integer.parseInt(step));
+    /** Returns the value that a pointer's tokens refer to; null if there is none. */
+    static JsonNode valueAt(JsonNode root, List<String> tokens) {
+        JsonNode node = root;
+        for (String token : tokens) {
+            if (node instanceof ObjectNode object) {
+                node = object.get(token);
+            } else if (node instanceof ArrayNode array && token.matches("0|[1-9][0-9]{0,8}")) {
+                node = array.get(Integer.parseInt(token));
             } else {
-                at = null;
+                node = null;
             }
-            if (at == null) {
+            if (node == null) {
                 return null;
             }
         }
-        return at;
+        return node;
     }
 }
--- a/src/main/java/badgermux/contract/MediaType.java
+++ b/src/main/java/badgermux/contract/MediaType.java
@@ -3,14 +3,19 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** A media type or range (RFC 9110, 8.3.1 and 12.5.1), its parameters but for the charset left out. */
+/**
+ * A media type or media range (RFC 9110, 8.3.1 and 12.5.1). Of its parameters, only the charset is kept.
+ *
+ * @param charset in lower case; null for none
+ */
 record MediaType(String type, String subtype, String charset) {
+    /** The characters besides letters and digits that a token may contain (RFC 9110, 5.6.2). */
     private static final String TOKEN_PUNCTUATION = "!#$%&'*+.^_`|~-";
     private static final MediaType JSON = new MediaType("application", "json", null);
-    /** RFC 9110, 8.3: what has no Content-Type may be taken for bytes. */
+    /** The type of a body without a Content-Type (RFC 9110, 8.3). */
     static final MediaType OCTET_STREAM = new MediaType("application", "octet-stream", null);
 
-    /** Null where the text is none. */
+    /** Parses a media type or range; returns null if the text is malformed. */
     static MediaType parse(String text) {
         if (text.equals("application/json")) {
             return JSON;
@@ -60,16 +65,19 @@
         return type.equals("text") && !isJson();
     }
 
-    /** The entry of a content map that fits best: the type itself, then its range, then any; null for none. */
-    static <T> T bestMatch(Map<MediaType, T> content, MediaType of) {
+    /**
+     * Returns the value whose key matches a media type best: an equal type, else a range of its subtypes, else the range of all
+     * types; null if none matches.
+     */
+    static <T> T bestMatch(Map<MediaType, T> content, MediaType mediaType) {
         T best = null;
-        int rank = 0;
+        int bestSpecificity = 0;
         for (Map.Entry<MediaType, T> entry : content.entrySet()) {
             MediaType range = entry.getKey();
-            int fits = range.type.equals("*") ? 1 : !range.type.equals(of.type) ? 0
-                : range.subtype.equals("*") ? 2 : range.subtype.equals(of.subtype) ? 3 : 0;
-            if (fits > rank) {
-                rank = fits;
+            int specificity = range.type.equals("*") ? 1 : !range.type.equals(mediaType.type) ? 0
+                : range.subtype.equals("*") ? 2 : range.subtype.equals(mediaType.subtype) ? 3 : 0;
+            if (specificity > bestSpecificity) {
+                bestSpecificity = specificity;
                 best = entry.getValue();
             }
         }
--- a/src/main/java/badgermux/contract/MessageStream.java
+++ b/src/main/java/badgermux/contract/MessageStream.java
@@ -2,6 +2,7 @@
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.HashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -12,38 +13,39 @@
 import tools.jackson.databind.node.JsonNodeFactory;
 import tools.jackson.databind.node.ObjectNode;
 
-/** A described stream of messages, one JSON value a line, and the order in which they may come. */
+/** A described stream of messages, one JSON value on each line, and the order in which they are allowed. */
 final class MessageStream {
-    /** How many lines one stream may have, and how many correlation ids may be open in it at once. */
-    static final int MAX_LINES = 4_096, MAX_CORRELATION_IDS = 1_024;
+    /** The maximum number of lines in one stream. */
+    static final int MAX_LINES = 4_096;
+    /** The maximum number of correlation ids in one stream. */
+    static final int MAX_CORRELATION_IDS = 1_024;
 
     /**
-     * A message that may come.
+     * A message of the stream.
      *
-     * @param name        its name
-     * @param payload     the schema of its payload; null for any
-     * @param headers     the schema of its headers; null for any
-     * @param headerNames the header names that this schema speaks of
-     * @param correlationIdPath the steps to its correlation id in the payload; null for none
+     * @param payload           the schema of the payload; null for any payload
+     * @param headers           the schema of the headers; null for any headers
+     * @param headerNames       the header names in this schema
+     * @param correlationIdPath the JSON pointer tokens of the correlation id in the payload; null for none
      */
-    record Message(String name, SchemaCompiler.CompiledSchema payload, SchemaCompiler.CompiledSchema headers, Set<String> headerNames,
-            List<String> correlationIdPath) { }
+    record Message(String name, SchemaCompiler.CompiledSchema payload, SchemaCompiler.CompiledSchema headers,
+            Set<String> headerNames, List<String> correlationIdPath) { }
 
-    private final String description;
+    private final String descriptionName;
     private final String address;
     private final Map<String, Message> messages;
     private final MessageOrder order;
 
-    /** {@code order} is null where any message may come at any time. */
-    MessageStream(String description, String address, Map<String, Message> messages, MessageOrder order) {
-        this.description = description;
+    /** {@code messages} are by name; {@code order} is null if any message is allowed at any time. */
+    MessageStream(String descriptionName, String address, Map<String, Message> messages, MessageOrder order) {
+        this.descriptionName = descriptionName;
         this.address = address;
         this.messages = messages;
         this.order = order;
     }
 
-    String description() {
-        return description;
+    String descriptionName() {
+        return descriptionName;
     }
 
     String address() {
@@ -58,110 +60,127 @@
         return order;
     }
 
-    /** Begins to judge a stream whose message came with these headers. */
-    Validator newValidator(HttpRequest.Headers headers, SchemaCompiler.Direction way) {
-        return new Validator(headers, way);
+    /** Returns a validator for one stream, whose HTTP message has these headers. */
+    Validator newValidator(HttpRequest.Headers headers, SchemaCompiler.Direction direction) {
+        return new Validator(headers, direction);
     }
 
-    /** The faults of a whole body; only the first line at fault is told, since what follows rests on it. */
-    List<Fault> validateBody(byte[] body, HttpRequest.Headers headers, long steps) throws SyntaxException {
-        Validator stream = newValidator(headers, SchemaCompiler.Direction.REQUEST);
-        int number = 0;
-        int from = 0;
+    /**
+     * Returns the faults of a complete body. Only the faults of the first invalid line are reported, because the validity of
+     * later lines depends on it.
+     *
+     * @throws SyntaxException    if a line is not valid JSON
+     * @throws StepLimitException if the validation of one line exceeds the step limit
+     */
+    List<Fault> validateBody(byte[] body, HttpRequest.Headers headers, long maxSteps) throws SyntaxException {
+        Validator validator = newValidator(headers, SchemaCompiler.Direction.REQUEST);
+        int lineNumber = 0;
+        int lineStart = 0;
         for (int i = 0; i <= body.length; i++) {
-            if (i == body.length ? from < i : body[i] == '\n') {
-                int end = i > from && body[i - 1] == '\r' ? i - 1 : i;
-                byte[] line = java.util.Arrays.copyOfRange(body, from, end);
-                from = i + 1;
-                number++;
+            if (i == body.length ? lineStart < i : body[i] == '\n') {
+                int end = i > lineStart && body[i - 1] == '\r' ? i - 1 : i;
+                byte[] line = Arrays.copyOfRange(body, lineStart, end);
+                lineStart = i + 1;
+                lineNumber++;
                 if (!new String(line, StandardCharsets.ISO_8859_1).isBlank()) {
                     List<Fault> faults;
                     try {
-                        faults = stream.validateLine(line, steps);
+                        faults = validator.validateLine(line, maxSteps);
                     } catch (SyntaxException e) {
-                        throw new SyntaxException(number, e.getMessage());
+                        throw new SyntaxException(lineNumber, e.getMessage());
                     }
                     if (!faults.isEmpty()) {
-                        return prefixLine(faults, number);
+                        return prefixLine(faults, lineNumber);
                     }
                 }
             }
         }
-        return prefixLine(stream.validateEnd(), number);
+        return prefixLine(validator.validateEnd(), lineNumber);
     }
 
-    /** The same faults with the line in front of their pointers, counted from 0 as in an array. */
-    private static List<Fault> prefixLine(List<Fault> faults, int number) {
+    /** Returns the faults with the index of the line, counted from 0, in front of their pointers. */
+    private static List<Fault> prefixLine(List<Fault> faults, int lineNumber) {
         return faults.stream().map(fault -> fault.in().equals("body")
-            ? new Fault(fault.in(), "/" + (number - 1) + fault.pointer(), fault.keyword(), fault.message()) : fault)
+            ? new Fault(fault.in(), "/" + (lineNumber - 1) + fault.pointer(), fault.keyword(), fault.message()) : fault)
             .toList();
     }
 
-    /** One stream as it goes on. */
+    /** Validates the lines of one stream as they arrive. */
     final class Validator {
         private final HttpRequest.Headers headers;
         private final SchemaCompiler.Direction direction;
-        /** The messages that each open correlation id may have come to. */
+        /** For each correlation id, the messages that the last line with this id can have been. */
         private final Map<String, Set<String>> statesByCorrelation = new HashMap<>();
         private int lineCount;
 
-        private Validator(HttpRequest.Headers headers, SchemaCompiler.Direction way) {
+        private Validator(HttpRequest.Headers headers, SchemaCompiler.Direction direction) {
             this.headers = headers;
-            this.direction = way;
+            this.direction = direction;
         }
 
-        /** The faults of the next line; none where it may come now. */
-        List<Fault> validateLine(byte[] line, long steps) throws SyntaxException {
+        /**
+         * Returns the faults of the next line; none if the line is allowed here.
+         *
+         * @throws SyntaxException    if the line is not valid JSON
+         * @throws StepLimitException if the validation exceeds the step limit
+         */
+        List<Fault> validateLine(byte[] line, long maxSteps) throws SyntaxException {
             if (++lineCount > MAX_LINES) {
                 return List.of(Fault.inBody("", "maxItems", "must have " + MAX_LINES + " lines or fewer"));
             }
             JsonNode value = Json.parseMessage(line);
-            long each = Math.min(steps, SchemaCompiler.MAX_QUICK_STEPS);
-            Map<String, Set<String>> fitting = new HashMap<>();
-            List<Fault> why = new ArrayList<>();
+            long maxMessageSteps = Math.min(maxSteps, SchemaCompiler.MAX_QUICK_STEPS);
+            Map<String, Set<String>> matchesByCorrelation = new HashMap<>();
+            List<Fault> onlyMessageFaults = new ArrayList<>();
             for (Message message : messages.values()) {
-                List<Fault> faults = validateMessage(message, value, each);
+                List<Fault> faults = validateMessage(message, value, maxMessageSteps);
                 if (faults.isEmpty()) {
-                    fitting.computeIfAbsent(correlationKey(message, value), key -> new LinkedHashSet<>())
+                    matchesByCorrelation.computeIfAbsent(correlationKey(message, value), key -> new LinkedHashSet<>())
                         .add(message.name());
                 } else if (messages.size() == 1) {
-                    why = faults;
+                    onlyMessageFaults = faults;
                 }
             }
-            if (fitting.isEmpty()) {
-                return !why.isEmpty() ? why : List.of(Fault.inBody("", "message", "conforms to none of the messages "
-                    + String.join(", ", messages.keySet())));
+            if (matchesByCorrelation.isEmpty()) {
+                return !onlyMessageFaults.isEmpty() ? onlyMessageFaults : List.of(Fault.inBody("", "message",
+                    "conforms to none of the messages " + String.join(", ", messages.keySet())));
             }
-            return order == null ? List.of() : advance(fitting);
+            return order == null ? List.of() : advance(matchesByCorrelation);
         }
 
-        private List<Fault> advance(Map<String, Set<String>> fitting) {
-            Set<String> came = new LinkedHashSet<>();
+        /**
+         * Moves the automaton of the line's correlation id to the messages that the line matches. A line can match messages
+         * with different correlation ids; the first id whose order allows a match is used.
+         */
+        private List<Fault> advance(Map<String, Set<String>> matchesByCorrelation) {
+            Set<String> received = new LinkedHashSet<>();
             Set<String> expected = new LinkedHashSet<>();
-            for (Map.Entry<String, Set<String>> entry : fitting.entrySet()) {
+            for (Map.Entry<String, Set<String>> entry : matchesByCorrelation.entrySet()) {
                 Set<String> allowed = order.allowedAfter(statesByCorrelation.get(entry.getKey()));
-                Set<String> now = new LinkedHashSet<>(entry.getValue());
-                came.addAll(now);
+                Set<String> accepted = new LinkedHashSet<>(entry.getValue());
+                received.addAll(accepted);
                 expected.addAll(allowed);
-                now.retainAll(allowed);
-                if (!now.isEmpty()) {
+                accepted.retainAll(allowed);
+                if (!accepted.isEmpty()) {
                     if (!statesByCorrelation.containsKey(entry.getKey()) && statesByCorrelation.size() >= MAX_CORRELATION_IDS) {
-                        return List.of(Fault.inBody("", MessageOrder.EXTENSION_KEY, "has more than " + MAX_CORRELATION_IDS + " correlation ids"));
+                        return List.of(Fault.inBody("", MessageOrder.EXTENSION_KEY,
+                            "has more than " + MAX_CORRELATION_IDS + " correlation ids"));
                     }
-                    statesByCorrelation.put(entry.getKey(), now);
+                    statesByCorrelation.put(entry.getKey(), accepted);
                     return List.of();
                 }
             }
-            return List.of(Fault.inBody("", MessageOrder.EXTENSION_KEY, String.join(" or ", came) + " may not come here, but "
-                + (expected.isEmpty() ? "nothing more" : String.join(" or ", expected))));
+            return List.of(Fault.inBody("", MessageOrder.EXTENSION_KEY, String.join(" or ", received)
+                + " may not come here, but " + (expected.isEmpty() ? "nothing more" : String.join(" or ", expected))));
         }
 
-        /** What is wrong with a stream that ends here. */
+        /** Returns the faults of a stream that ends here. */
         List<Fault> validateEnd() {
             if (order != null) {
                 for (Set<String> state : statesByCorrelation.values()) {
                     if (!order.mayEnd(state)) {
-                        return List.of(Fault.inBody("", MessageOrder.EXTENSION_KEY, "may not end after " + String.join(" or ", state)));
+                        return List.of(Fault.inBody("", MessageOrder.EXTENSION_KEY,
+                            "may not end after " + String.join(" or ", state)));
                     }
                 }
                 if (statesByCorrelation.isEmpty()) {
@@ -172,20 +191,22 @@
             return List.of();
         }
 
-        private List<Fault> validateMessage(Message message, JsonNode value, long steps) {
+        private List<Fault> validateMessage(Message message, JsonNode value, long maxSteps) {
             List<Fault> faults = message.payload() == null ? List.of()
-                : message.payload().validate(value, direction, "body", "", steps);
-            if (faults.isEmpty() && message.correlationIdPath() != null && Json.valueAt(value, message.correlationIdPath()) == null) {
+                : message.payload().validate(value, direction, "body", "", maxSteps);
+            if (faults.isEmpty() && message.correlationIdPath() != null
+                    && Json.valueAt(value, message.correlationIdPath()) == null) {
                 return List.of(Fault.inBody("", "correlationId", "must have a correlation id at /"
                     + String.join("/", message.correlationIdPath())));
             }
             if (faults.isEmpty() && message.headers() != null) {
-                return message.headers().validate(headers(message), direction, "header", "", steps);
+                return message.headers().validate(headersOf(message), direction, "header", "", maxSteps);
             }
             return faults;
         }
 
-        private JsonNode headers(Message message) {
+        /** Returns those headers that the message's schema names, as an object of strings. */
+        private JsonNode headersOf(Message message) {
             ObjectNode object = JsonNodeFactory.instance.objectNode();
             for (String name : message.headerNames()) {
                 List<String> values = headers.values(name);
@@ -196,9 +217,12 @@
             return object;
         }
 
+        /** Returns the type and the text of the correlation id, so that 1 and "1" differ; empty if there is none. */
         private String correlationKey(Message message, JsonNode value) {
-            JsonNode at = message.correlationIdPath() == null ? null : Json.valueAt(value, message.correlationIdPath());
-            return at == null ? "" : at.getNodeType().name().toLowerCase(Locale.ROOT) + ' ' + at;
+            JsonNode correlationId = message.correlationIdPath() == null ? null
+                : Json.valueAt(value, message.correlationIdPath());
+            return correlationId == null ? ""
+                : correlationId.getNodeType().name().toLowerCase(Locale.ROOT) + ' ' + correlationId;
         }
     }
 }
--- a/src/main/java/badgermux/contract/OpenApiFormats.java
+++ b/src/main/java/badgermux/contract/OpenApiFormats.java
@@ -7,10 +7,11 @@
 import java.util.List;
 import tools.jackson.databind.JsonNode;
 
-/** The formats of OpenAPI's own registry that the validator does not know: of numbers, and of bytes as text. */
+/** Formats of the OpenAPI format registry that the validator does not support: int32, int64 and byte. */
 final class OpenApiFormats {
     private OpenApiFormats() { }
 
+    /** The check of one format; a value of a type to which the format does not apply passes. */
     private interface Check {
         boolean passes(JsonNode value);
     }
--- a/src/main/java/badgermux/contract/OpenApiReader.java
+++ b/src/main/java/badgermux/contract/OpenApiReader.java
@@ -3,6 +3,7 @@
 import com.networknt.schema.dialect.Dialects;
 import java.util.ArrayList;
 import java.util.HashMap;
+import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Locale;
@@ -12,7 +13,7 @@
 
 /** Reads OpenAPI 3.0 and 3.1 (OpenAPI Specification 3.0.4 and 3.1.1). */
 final class OpenApiReader extends DescriptionReader {
-    /** What becomes of results that do not conform: {@code off}, {@code count} or {@code fail}. */
+    /** The extension that says how results are validated: {@code off}, {@code count} or {@code fail}. */
     static final String RESULTS_KEY = "x-results";
     private static final Set<String> METHODS = Set.of("get", "put", "post", "delete", "options", "head", "patch",
         "trace");
@@ -21,9 +22,9 @@
 
     private final boolean isVersion30;
 
-    OpenApiReader(ApiDescription description, DocumentBundle bundle, boolean old) {
-        super(description, bundle, old ? Dialects.getOpenApi30() : Dialects.getOpenApi31(), !old);
-        this.isVersion30 = old;
+    OpenApiReader(ApiDescription description, DocumentBundle bundle, boolean isVersion30) {
+        super(description, bundle, isVersion30 ? Dialects.getOpenApi30() : Dialects.getOpenApi31(), !isVersion30);
+        this.isVersion30 = isVersion30;
     }
 
     @Override void readDescription() {
@@ -35,11 +36,11 @@
         if (root.get("paths") == null && (isVersion30 || root.get("webhooks") == null && root.get("components") == null)) {
             addProblem("", "paths is missing");
         }
-        List<String> bases = readBasePaths("", List.of(""));
+        List<String> basePaths = readBasePaths("", List.of(""));
         for (Map.Entry<String, JsonNode> path : members("/paths")) {
-            String at = "/paths/" + Json.escapeToken(path.getKey());
-            if (!path.getKey().startsWith("x-") && isValidTemplate(path.getKey(), at)) {
-                readPath(path.getKey(), at, bases);
+            String pointer = "/paths/" + Json.escapeToken(path.getKey());
+            if (!path.getKey().startsWith("x-") && isValidTemplate(path.getKey(), pointer)) {
+                readPath(path.getKey(), pointer, basePaths);
             }
             if (hasMaxProblems()) {
                 return;
@@ -47,12 +48,13 @@
         }
     }
 
-    private List<String> readBasePaths(String pointer, List<String> otherwise) {
+    /** Returns the base paths of the servers listed at a pointer; {@code inherited} if there are none. */
+    private List<String> readBasePaths(String pointer, List<String> inherited) {
         JsonNode servers = bundle.valueAt(pointer + "/servers");
         if (servers == null || !servers.isArray() || servers.isEmpty()) {
-            return otherwise;
+            return inherited;
         }
-        List<String> bases = new ArrayList<>();
+        List<String> paths = new ArrayList<>();
         for (int i = 0; i < servers.size(); i++) {
             String url = stringMember(servers.get(i), "url");
             if (url == null) {
@@ -60,66 +62,69 @@
                 continue;
             }
             basePaths(url, servers.get(i).get("variables"), pointer + "/servers/" + i + "/url").stream()
-                .filter(base -> !bases.contains(base)).forEach(bases::add);
+                .filter(base -> !paths.contains(base)).forEach(paths::add);
         }
-        return bases.isEmpty() ? List.of("") : bases;
+        return paths.isEmpty() ? List.of("") : paths;
     }
 
-    private void readPath(String template, String pointer, List<String> otherwise) {
-        String at = bundle.resolve(pointer);
-        List<String> bases = readBasePaths(at, otherwise);
-        Map<String, String> shared = readParameterPointers(at);
-        for (Map.Entry<String, JsonNode> member : members(at)) {
+    /** Reads the operations of a path; {@code inherited} are the base paths of the whole description. */
+    private void readPath(String template, String pointer, List<String> inherited) {
+        String pathPointer = bundle.resolve(pointer);
+        List<String> basePaths = readBasePaths(pathPointer, inherited);
+        Map<String, String> sharedParameters = readParameterPointers(pathPointer);
+        for (Map.Entry<String, JsonNode> member : members(pathPointer)) {
             if (METHODS.contains(member.getKey())) {
                 String method = member.getKey().toUpperCase(Locale.ROOT);
-                String here = at + '/' + member.getKey();
-                Operation operation = readOperation(template, method, here, at, shared);
-                for (String base : readBasePaths(here, bases)) {
+                String operationPointer = pathPointer + '/' + member.getKey();
+                Operation operation = readOperation(template, method, operationPointer, pathPointer, sharedParameters);
+                for (String base : readBasePaths(operationPointer, basePaths)) {
                     description.routes.add(new ApiDescription.Route(base + template, method, operation));
                 }
             }
         }
     }
 
-    /** The pointers of a list of parameters, by place and name. */
+    /** Returns the pointers of the parameters listed at a pointer, by their location and name. */
     private Map<String, String> readParameterPointers(String pointer) {
-        Map<String, String> found = new LinkedHashMap<>();
+        Map<String, String> pointers = new LinkedHashMap<>();
         JsonNode list = bundle.valueAt(pointer + "/parameters");
         if (list != null && !list.isArray()) {
             addProblem(pointer + "/parameters", "must be a list");
-            return found;
+            return pointers;
         }
         for (int i = 0; list != null && i < list.size(); i++) {
-            String at = bundle.resolve(pointer + "/parameters/" + i);
-            JsonNode parameter = bundle.valueAt(at);
+            String parameterPointer = bundle.resolve(pointer + "/parameters/" + i);
+            JsonNode parameter = bundle.valueAt(parameterPointer);
             String name = stringMember(parameter, "name");
             String in = stringMember(parameter, "in");
             if (name == null || in == null || !Parameter.STYLES_BY_LOCATION.containsKey(in)) {
-                addProblem(at, "a parameter needs a name, and in must be path, query, header or cookie");
-            } else if (found.put(in + ' ' + (in.equals("header") ? name.toLowerCase(Locale.ROOT) : name), at) != null) {
-                addProblem(at, "a parameter stands there twice: " + name);
+                addProblem(parameterPointer, "a parameter needs a name, and in must be path, query, header or cookie");
+            } else if (pointers.put(in + ' ' + (in.equals("header") ? name.toLowerCase(Locale.ROOT) : name),
+                    parameterPointer) != null) {
+                addProblem(parameterPointer, "a parameter stands there twice: " + name);
             }
         }
-        return found;
+        return pointers;
     }
 
+    /** Reads an operation; {@code sharedParameters} are the pointers of the path's parameters. */
     private Operation readOperation(String template, String method, String pointer, String pathPointer,
-            Map<String, String> shared) {
+            Map<String, String> sharedParameters) {
         Operation operation = new Operation(description.name(), method + ' ' + template, pointer);
         JsonNode node = bundle.valueAt(pointer);
         operation.pathParameterNames = RouteTable.parameterNames(template);
-        Map<String, String> own = new LinkedHashMap<>(shared);
-        own.putAll(readParameterPointers(pointer));
-        Set<String> described = new java.util.HashSet<>();
-        for (String at : own.values()) {
-            Parameter parameter = readParameter(at);
+        Map<String, String> parameterPointers = new LinkedHashMap<>(sharedParameters);
+        parameterPointers.putAll(readParameterPointers(pointer));
+        Set<String> described = new HashSet<>();
+        for (String parameterPointer : parameterPointers.values()) {
+            Parameter parameter = readParameter(parameterPointer);
             if (parameter == null) {
                 continue;
             }
             if (parameter.in().equals("path")) {
                 described.add(parameter.name());
                 if (!operation.pathParameterNames.contains(parameter.name())) {
-                    addProblem(at, "the path has no parameter of this name: " + parameter.name());
+                    addProblem(parameterPointer, "the path has no parameter of this name: " + parameter.name());
                 }
             }
             operation.parameters.add(parameter);
@@ -136,8 +141,9 @@
         return operation;
     }
 
-    private Parameter readParameter(String at) {
-        JsonNode node = bundle.valueAt(at);
+    /** Reads a parameter; returns null if it is ignored or can't be used. */
+    private Parameter readParameter(String pointer) {
+        JsonNode node = bundle.valueAt(pointer);
         String name = stringMember(node, "name");
         String in = stringMember(node, "in");
         if (in.equals("header") && Parameter.isIgnoredHeader(name)) {
@@ -145,115 +151,120 @@
         }
         boolean required = booleanMember(node, "required");
         if (in.equals("path") && !required) {
-            addProblem(at, "a parameter of a path must be required");
+            addProblem(pointer, "a parameter of a path must be required");
         }
         String style = stringMember(node, "style");
         style = style != null ? style : in.equals("query") || in.equals("cookie") ? "form" : "simple";
         if (!Parameter.STYLES_BY_LOCATION.get(in).contains(style)) {
-            addProblem(at + "/style", "is no style of a parameter in " + in);
+            addProblem(pointer + "/style", "is no style of a parameter in " + in);
             return null;
         }
         boolean explode = node.get("explode") == null ? style.equals("form") : booleanMember(node, "explode");
         JsonNode content = node.get("content");
         if ((content == null) == (node.get("schema") == null)) {
-            addProblem(at, "a parameter needs either schema or content");
+            addProblem(pointer, "a parameter needs either schema or content");
             return null;
         }
         if (content == null) {
-            return new Parameter(name, in, required, style, explode, false, ExpectedType.of(bundle, at + "/schema"),
-                compileSchema(at + "/schema"));
+            return new Parameter(name, in, required, style, explode, false, ExpectedType.of(bundle, pointer + "/schema"),
+                compileSchema(pointer + "/schema"));
         }
         if (!content.isObject() || content.size() != 1) {
-            addProblem(at + "/content", "must have exactly one media type");
+            addProblem(pointer + "/content", "must have exactly one media type");
             return null;
         }
-        String type = content.propertyNames().iterator().next();
-        String schema = at + "/content/" + Json.escapeToken(type) + "/schema";
-        MediaType media = MediaType.parse(type);
-        if (media == null) {
-            addProblem(at + "/content/" + Json.escapeToken(type), "is no media type");
+        String mediaTypeName = content.propertyNames().iterator().next();
+        String schemaPointer = pointer + "/content/" + Json.escapeToken(mediaTypeName) + "/schema";
+        MediaType mediaType = MediaType.parse(mediaTypeName);
+        if (mediaType == null) {
+            addProblem(pointer + "/content/" + Json.escapeToken(mediaTypeName), "is no media type");
             return null;
         }
-        boolean some = bundle.valueAt(schema) != null;
-        return new Parameter(name, in, required, style, explode, media.isJson(),
-            ExpectedType.of(bundle, schema), some ? compileSchema(schema) : null);
+        boolean hasSchema = bundle.valueAt(schemaPointer) != null;
+        return new Parameter(name, in, required, style, explode, mediaType.isJson(),
+            ExpectedType.of(bundle, schemaPointer), hasSchema ? compileSchema(schemaPointer) : null);
     }
 
-    private void readRequestBody(Operation operation, String at) {
-        JsonNode node = bundle.valueAt(at);
+    private void readRequestBody(Operation operation, String bodyPointer) {
+        JsonNode node = bundle.valueAt(bodyPointer);
         if (node.get("content") == null || !node.get("content").isObject()) {
-            addProblem(at, "a request's body needs content");
+            addProblem(bodyPointer, "a request's body needs content");
             return;
         }
         operation.bodyRequired = booleanMember(node, "required");
         operation.bodySchemas = new LinkedHashMap<>();
-        for (String type : node.get("content").propertyNames()) {
-            String pointer = at + "/content/" + Json.escapeToken(type);
-            MediaType media = MediaType.parse(type);
-            if (media == null) {
+        for (String mediaTypeName : node.get("content").propertyNames()) {
+            String pointer = bodyPointer + "/content/" + Json.escapeToken(mediaTypeName);
+            MediaType mediaType = MediaType.parse(mediaTypeName);
+            if (mediaType == null) {
                 addProblem(pointer, "is no media type");
             } else {
-                operation.bodySchemas.put(media, readBodySchema(media, pointer, SchemaCompiler.Direction.REQUEST));
+                operation.bodySchemas.put(mediaType, readBodySchema(mediaType, pointer, SchemaCompiler.Direction.REQUEST));
             }
         }
     }
 
-    private BodySchema readBodySchema(MediaType media, String pointer, SchemaCompiler.Direction way) {
-        String at = pointer + "/schema";
-        boolean judged = media.isJson() || media.isForm() || media.type().equals("text")
-            || media.subtype().equals("octet-stream") || media.subtype().equals("*");
-        JsonNode schema = bundle.valueAt(at);
-        if (!judged && schema != null) {
-            addWarning(pointer, "bodies of " + media + " are passed on without being judged");
+    /** Reads the schema of a media type object. Bodies of media types that are not supported conform to any schema. */
+    private BodySchema readBodySchema(MediaType mediaType, String pointer, SchemaCompiler.Direction direction) {
+        String schemaPointer = pointer + "/schema";
+        boolean isValidated = mediaType.isJson() || mediaType.isForm() || mediaType.type().equals("text")
+            || mediaType.subtype().equals("octet-stream") || mediaType.subtype().equals("*");
+        JsonNode schema = bundle.valueAt(schemaPointer);
+        if (!isValidated && schema != null) {
+            addWarning(pointer, "bodies of " + mediaType + " are passed on without being judged");
         }
-        if (schema == null || !judged || media.isJsonLines()) {
+        if (schema == null || !isValidated || mediaType.isJsonLines()) {
             return new BodySchema(null, ExpectedType.ANY, Map.of());
         }
-        if (media.isJson()) {
-            return new BodySchema(compileSchema(at), ExpectedType.ANY, Map.of());
+        if (mediaType.isJson()) {
+            return new BodySchema(compileSchema(schemaPointer), ExpectedType.ANY, Map.of());
         }
-        Map<String, Parameter> fields = new HashMap<>();
+        Map<String, Parameter> fieldEncodings = new HashMap<>();
         for (Map.Entry<String, JsonNode> field : members(pointer + "/encoding")) {
             JsonNode explode = field.getValue().get("explode");
             String style = stringMember(field.getValue(), "style");
-            fields.put(field.getKey(), new Parameter(field.getKey(), "query", false, style == null ? "form" : style,
-                explode == null || explode.asBoolean(true), false, ExpectedType.of(bundle, at), null));
+            fieldEncodings.put(field.getKey(), new Parameter(field.getKey(), "query", false, style == null ? "form" : style,
+                explode == null || explode.asBoolean(true), false, ExpectedType.of(bundle, schemaPointer), null));
         }
-        return new BodySchema(compileSchema(at), ExpectedType.of(bundle, at), fields);
+        return new BodySchema(compileSchema(schemaPointer), ExpectedType.of(bundle, schemaPointer), fieldEncodings);
     }
 
-    /** What a served answer must be: that of 200, or of 2XX, or the default. */
+    /**
+     * Reads the policy for results and, unless it is off, their schema: that of response 200, else 2XX, else default. The policy
+     * of an operation overrides that of its path, which overrides that of the description.
+     */
     private void readResultPolicy(Operation operation, String pointer, String pathPointer) {
-        String how = null;
-        for (String at : List.of("", pathPointer, pointer)) {
-            JsonNode word = bundle.valueAt(at).get(RESULTS_KEY);
-            if (word != null && (!word.isString() || !Set.of("off", "count", "fail").contains(word.stringValue()))) {
-                addProblem(at + '/' + RESULTS_KEY, "must be off, count or fail");
-            } else if (word != null) {
-                how = word.stringValue();
+        String policyName = null;
+        for (String location : List.of("", pathPointer, pointer)) {
+            JsonNode value = bundle.valueAt(location).get(RESULTS_KEY);
+            if (value != null && (!value.isString() || !Set.of("off", "count", "fail").contains(value.stringValue()))) {
+                addProblem(location + '/' + RESULTS_KEY, "must be off, count or fail");
+            } else if (value != null) {
+                policyName = value.stringValue();
             }
         }
-        operation.resultPolicy = how == null ? Operation.ResultPolicy.OFF
-            : Operation.ResultPolicy.valueOf(how.toUpperCase(Locale.ROOT));
+        operation.resultPolicy = policyName == null ? Operation.ResultPolicy.OFF
+            : Operation.ResultPolicy.valueOf(policyName.toUpperCase(Locale.ROOT));
         if (operation.resultPolicy == Operation.ResultPolicy.OFF) {
             return;
         }
         for (String status : List.of("200", "2XX", "default")) {
-            String at = pointer + "/responses/" + status;
-            if (bundle.valueAt(at) == null) {
+            String location = pointer + "/responses/" + status;
+            if (bundle.valueAt(location) == null) {
                 continue;
             }
-            at = bundle.resolve(at) + "/content";
-            JsonNode content = bundle.valueAt(at);
+            location = bundle.resolve(location) + "/content";
+            JsonNode content = bundle.valueAt(location);
             if (content == null || !content.isObject() || content.isEmpty()) {
                 return;
             }
-            String type = content.propertyNames().stream().filter(t -> MediaType.parse(t) != null
-                && MediaType.parse(t).isJson()).findFirst().orElse(content.propertyNames().iterator().next());
-            MediaType media = MediaType.parse(type);
-            if (media != null) {
-                operation.responseMediaType = media;
-                operation.responseSchema = readBodySchema(media, at + '/' + Json.escapeToken(type), SchemaCompiler.Direction.RESPONSE);
+            String mediaTypeName = content.propertyNames().stream().filter(name -> MediaType.parse(name) != null
+                && MediaType.parse(name).isJson()).findFirst().orElse(content.propertyNames().iterator().next());
+            MediaType mediaType = MediaType.parse(mediaTypeName);
+            if (mediaType != null) {
+                operation.responseMediaType = mediaType;
+                operation.responseSchema = readBodySchema(mediaType, location + '/' + Json.escapeToken(mediaTypeName),
+                    SchemaCompiler.Direction.RESPONSE);
             }
             return;
         }
--- a/src/main/java/badgermux/contract/Operation.java
+++ b/src/main/java/badgermux/contract/Operation.java
@@ -6,38 +6,48 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 
-/** One operation of a description, compiled: a method on a path, what it takes and what it answers. */
+/** A compiled operation of a description: the parameters, request bodies and results of one HTTP method on one path. */
 final class Operation {
-    /** What becomes of a result that the description does not allow. */
+    /** How results are validated: not at all, with violations counted, or with violations failing the request. */
     enum ResultPolicy { OFF, COUNT, FAIL }
 
     final String descriptionName;
     final String name;
+    /** The JSON pointer of the operation in the document bundle. */
     final String pointer;
+    /** The names of the path parameters, in the order of the path template. */
     List<String> pathParameterNames = List.of();
     final List<Parameter> parameters = new ArrayList<>();
-    /** By media type; null where no body is described, and then any or none may come. */
+    /** The schemas of the request body by media type; null if no body is described, and any or no body is allowed. */
     Map<MediaType, BodySchema> bodySchemas;
     boolean bodyRequired;
-    /** What a served result must keep to; null for nothing described. */
+    /** The schema of a result; null if none is described. */
     BodySchema responseSchema;
     MediaType responseMediaType;
     ResultPolicy resultPolicy = ResultPolicy.OFF;
 
-    Operation(String description, String name, String pointer) {
-        this.descriptionName = description;
+    Operation(String descriptionName, String name, String pointer) {
+        this.descriptionName = descriptionName;
         this.name = name;
         this.pointer = pointer;
     }
 
-    /** Judges a request whose path has these values; {@code posted} are the lines that may be posted, null for none. */
-    ValidationResult validate(HttpRequest request, String query, List<String> values, MessageStream posted, long steps) {
+    /**
+     * Validates a request.
+     *
+     * @param query         the query of the target, without the question mark
+     * @param pathValues    the decoded values of the path parameters, in the order of the path template
+     * @param requestStream the stream of messages that clients may send to this path; null for none
+     * @throws StepLimitException if the validation of one value exceeds {@code maxSteps}
+     */
+    ValidationResult validate(HttpRequest request, String query, List<String> pathValues, MessageStream requestStream,
+            long maxSteps) {
         List<Fault> faults = new ArrayList<>();
         try {
-            parameters(request, query, values, faults, steps);
-            ValidationResult body = validateBody(request, posted, faults, steps);
-            if (body != null) {
-                return body;
+            validateParameters(request, query, pathValues, faults, maxSteps);
+            ValidationResult bodyResult = validateBody(request, requestStream, faults, maxSteps);
+            if (bodyResult != null) {
+                return bodyResult;
             }
         } catch (SyntaxException e) {
             return ValidationResult.refused(400, descriptionName, Fault.inBody("", "syntax", e.getMessage()
@@ -46,8 +56,9 @@
         return faults.isEmpty() ? ValidationResult.CONFORMS : new ValidationResult(422, faults, "", descriptionName);
     }
 
-    private void parameters(HttpRequest request, String query, List<String> values, List<Fault> faults, long steps)
-            throws SyntaxException {
+    /** Validates all parameters. The query is parsed in any case, so that a malformed one is refused. */
+    private void validateParameters(HttpRequest request, String query, List<String> pathValues, List<Fault> faults,
+            long maxSteps) throws SyntaxException {
         List<QueryPair> pairs = null;
         for (Parameter parameter : parameters) {
             if (faults.size() >= ValidationResult.MAX_FAULTS) {
@@ -57,16 +68,16 @@
                 case "path" -> {
                     int index = pathParameterNames.indexOf(parameter.name());
                     if (index >= 0) {
-                        parameter.validatePathValue(values.get(index), faults, steps);
+                        parameter.validatePathValue(pathValues.get(index), faults, maxSteps);
                     }
                 }
                 case "query" -> {
                     pairs = pairs == null ? QueryPair.parse(query) : pairs;
-                    parameter.validateQuery(pairs, faults, steps);
+                    parameter.validateQuery(pairs, faults, maxSteps);
                 }
-                case "header" -> parameter.validateValues(request.headers().values(parameter.name()), faults, steps);
-                default -> parameter.validateValues(Parameter.cookieValues(request.headers().values("Cookie"), parameter.name()), faults,
-                    steps);
+                case "header" -> parameter.validateValues(request.headers().values(parameter.name()), faults, maxSteps);
+                default -> parameter.validateValues(
+                    Parameter.cookieValues(request.headers().values("Cookie"), parameter.name()), faults, maxSteps);
             }
         }
         if (pairs == null && !query.isEmpty()) {
@@ -74,9 +85,13 @@
         }
     }
 
-    /** The verdict where nothing else counts any more; null where the faults found so far decide. */
-    private ValidationResult validateBody(HttpRequest request, MessageStream posted, List<Fault> faults, long steps) throws SyntaxException {
-        if (bodySchemas == null && posted == null) {
+    /**
+     * Validates the body and adds its faults to {@code faults}. Returns null, or a final result if the body's media type is
+     * not supported; this result replaces all faults.
+     */
+    private ValidationResult validateBody(HttpRequest request, MessageStream requestStream, List<Fault> faults, long maxSteps)
+            throws SyntaxException {
+        if (bodySchemas == null && requestStream == null) {
             return null;
         }
         if (request.body().length == 0) {
@@ -86,30 +101,35 @@
             return null;
         }
         List<String> types = request.headers().values("Content-Type");
-        MediaType type = types.isEmpty() ? MediaType.OCTET_STREAM : types.size() > 1 ? null : MediaType.parse(types.get(0));
-        if (posted != null && type != null && (type.isJsonLines() || bodySchemas == null)) {
-            faults.addAll(posted.validateBody(request.body(), request.headers(), steps));
+        MediaType mediaType = types.isEmpty() ? MediaType.OCTET_STREAM : types.size() > 1 ? null : MediaType.parse(types.get(0));
+        if (requestStream != null && mediaType != null && (mediaType.isJsonLines() || bodySchemas == null)) {
+            faults.addAll(requestStream.validateBody(request.body(), request.headers(), maxSteps));
             return null;
         }
-        BodySchema rule = type == null || bodySchemas == null ? null : MediaType.bestMatch(bodySchemas, type);
-        if (rule == null) {
-            String takes = (bodySchemas == null ? "" : bodySchemas.keySet().stream().map(MediaType::toString)
-                .collect(Collectors.joining(", "))) + (posted == null ? "" : bodySchemas == null
+        BodySchema schema = mediaType == null || bodySchemas == null ? null : MediaType.bestMatch(bodySchemas, mediaType);
+        if (schema == null) {
+            String supportedTypes = (bodySchemas == null ? "" : bodySchemas.keySet().stream().map(MediaType::toString)
+                .collect(Collectors.joining(", "))) + (requestStream == null ? "" : bodySchemas == null
                 ? "application/x-ndjson" : ", application/x-ndjson");
-            return new ValidationResult(415, List.of(Fault.inBody("", "content", "the body's media type must be one of " + takes)),
-                takes, descriptionName);
+            return new ValidationResult(415,
+                List.of(Fault.inBody("", "content", "the body's media type must be one of " + supportedTypes)),
+                supportedTypes, descriptionName);
         }
-        faults.addAll(rule.validate(type, request.body(), SchemaCompiler.Direction.REQUEST, steps));
+        faults.addAll(schema.validate(mediaType, request.body(), SchemaCompiler.Direction.REQUEST, maxSteps));
         return null;
     }
 
-    /** The faults of a served result; none where nothing is described. */
-    List<Fault> validateResult(byte[] body, long steps) {
+    /**
+     * Returns the faults of a result; none if no result is described.
+     *
+     * @throws StepLimitException if the validation exceeds {@code maxSteps}
+     */
+    List<Fault> validateResult(byte[] body, long maxSteps) {
         if (responseSchema == null) {
             return List.of();
         }
         try {
-            return responseSchema.validate(responseMediaType, body, SchemaCompiler.Direction.RESPONSE, steps);
+            return responseSchema.validate(responseMediaType, body, SchemaCompiler.Direction.RESPONSE, maxSteps);
         } catch (SyntaxException e) {
             return List.of(Fault.inBody("", "syntax", e.getMessage()));
         }
--- a/src/main/java/badgermux/contract/Parameter.java
+++ b/src/main/java/badgermux/contract/Parameter.java
@@ -1,5 +1,6 @@
 package badgermux.contract;
 
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -12,28 +13,29 @@
 import tools.jackson.databind.node.ObjectNode;
 
 /**
- * One described parameter: where it stands, how a value is written there (OpenAPI's style and explode, after RFC 6570),
- * and the schema of that value.
+ * A described parameter: its location, how its value is serialized there (OpenAPI's style and explode, after RFC 6570), and
+ * the schema of the value.
  *
- * @param name     its name; that of a header in any case
- * @param in       {@code path}, {@code query}, {@code header} or {@code cookie}
- * @param required whether it must be there
- * @param style    OpenAPI's word
- * @param explode  whether arrays and objects are written part by part
- * @param jsonEncoded     whether the text is JSON, by {@code content}
- * @param expectedType    what the schema asks for
- * @param schema   the schema; null for none
+ * @param name         the name; not case-sensitive for a header
+ * @param in           the location: {@code path}, {@code query}, {@code header} or {@code cookie}
+ * @param required     whether the parameter must be present
+ * @param style        the serialization style of OpenAPI
+ * @param explode      whether the elements of arrays and the members of objects are serialized separately
+ * @param jsonEncoded  whether the text is JSON, as described by {@code content}
+ * @param expectedType the type that the schema expects, to coerce text
+ * @param schema       the schema; null for none
  */
-record Parameter(String name, String in, boolean required, String style, boolean explode, boolean jsonEncoded, ExpectedType expectedType,
-        SchemaCompiler.CompiledSchema schema) {
-    /** Which styles go with which place. */
+record Parameter(String name, String in, boolean required, String style, boolean explode, boolean jsonEncoded,
+        ExpectedType expectedType, SchemaCompiler.CompiledSchema schema) {
+    /** The allowed styles for each location. */
     static final Map<String, Set<String>> STYLES_BY_LOCATION = Map.of("path", Set.of("simple", "label", "matrix"),
         "query", Set.of("form", "spaceDelimited", "pipeDelimited", "deepObject"), "header", Set.of("simple"),
         "cookie", Set.of("form"));
+    /** The maximum number of array elements, or of names and values, in one parameter. */
     private static final int MAX_PARTS = 1_000;
 
-    /** Judges a path parameter's text. */
-    void validatePathValue(String text, List<Fault> faults, long steps) throws SyntaxException {
+    /** Validates the decoded text of a path parameter. */
+    void validatePathValue(String text, List<Fault> faults, long maxSteps) throws SyntaxException {
         String value = text;
         String[] parts;
         switch (style) {
@@ -52,24 +54,24 @@
                 }
                 value = text.substring(1);
                 parts = value.split(explode ? ";" : ",", -1);
-                String start = name + '=';
-                boolean pairs = explode && expectedType.isObject();
-                for (int i = 0; i < parts.length && !pairs && (explode || i == 0); i++) {
-                    if (!parts[i].startsWith(start)) {
+                String prefix = name + '=';
+                boolean hasMemberNames = explode && expectedType.isObject();
+                for (int i = 0; i < parts.length && !hasMemberNames && (explode || i == 0); i++) {
+                    if (!parts[i].startsWith(prefix)) {
                         faults.add(newFault("style", "must name the parameter"));
                         return;
                     }
-                    parts[i] = parts[i].substring(start.length());
+                    parts[i] = parts[i].substring(prefix.length());
                 }
-                value = value.startsWith(start) ? value.substring(start.length()) : value;
+                value = value.startsWith(prefix) ? value.substring(prefix.length()) : value;
             }
             default -> parts = text.split(",", -1);
         }
-        validateText(value, List.of(parts), faults, steps);
+        validateText(value, List.of(parts), faults, maxSteps);
     }
 
-    /** Judges the values of a header, or of the pieces of a cookie of this name. */
-    void validateValues(List<String> values, List<Fault> faults, long steps) throws SyntaxException {
+    /** Validates the values of a header, or of the cookies with this name. */
+    void validateValues(List<String> values, List<Fault> faults, long maxSteps) throws SyntaxException {
         if (values.isEmpty()) {
             checkRequired(faults);
             return;
@@ -84,50 +86,51 @@
         for (String part : decoded.split(",", -1)) {
             parts.add(part.strip());
         }
-        validateText(decoded, parts, faults, steps);
+        validateText(decoded, parts, faults, maxSteps);
     }
 
-    /** Judges what a query, or a form, holds of this parameter; {@code pairs} are decoded, {@code raw} are not. */
-    void validateQuery(List<QueryPair> pairs, List<Fault> faults, long steps) throws SyntaxException {
-        JsonNode[] read = new JsonNode[2];
+    /** Validates this parameter in a query; {@code pairs} are all pairs of the query. */
+    void validateQuery(List<QueryPair> pairs, List<Fault> faults, long maxSteps) throws SyntaxException {
+        JsonNode[] candidates = new JsonNode[2];
         if (!jsonEncoded && style.equals("deepObject")) {
-            read = parseDeepObject(pairs, faults);
-            if (read == null) {
+            candidates = parseDeepObject(pairs, faults);
+            if (candidates == null) {
                 return;
             }
         } else if (!jsonEncoded && explode && expectedType.isObject()) {
-            read = parseExplodedObject(pairs);
+            candidates = parseExplodedObject(pairs);
         } else {
-            List<QueryPair> own = pairs.stream().filter(pair -> pair.name().equals(name)).toList();
-            if (own.isEmpty()) {
+            List<QueryPair> ownPairs = pairs.stream().filter(pair -> pair.name().equals(name)).toList();
+            if (ownPairs.isEmpty()) {
                 checkRequired(faults);
                 return;
             }
             if (!jsonEncoded && explode && expectedType.isArray() && style.equals("form")) {
-                validateText(own.get(0).value(), own.stream().map(QueryPair::value).toList(), faults, steps);
+                validateText(ownPairs.get(0).value(), ownPairs.stream().map(QueryPair::value).toList(), faults, maxSteps);
                 return;
             }
-            if (own.size() > 1) {
+            if (ownPairs.size() > 1) {
                 faults.add(newFault("repeated", "must stand there once"));
                 return;
             }
             List<String> parts = new ArrayList<>();
-            // The separator counts as it was written: one that came encoded belongs to a value.
+            // Split before decoding, because an encoded separator belongs to a value.
             String separator = style.equals("spaceDelimited") ? "%20|\\+| " : style.equals("pipeDelimited")
                 ? "\\||%7[cC]" : ",";
-            for (String part : own.get(0).rawValue().split(separator, -1)) {
+            for (String part : ownPairs.get(0).rawValue().split(separator, -1)) {
                 parts.add(PercentEncoding.decode(part, true));
             }
-            validateText(own.get(0).value(), parts, faults, steps);
+            validateText(ownPairs.get(0).value(), parts, faults, maxSteps);
             return;
         }
-        if (read[0] == null) {
+        if (candidates[0] == null) {
             checkRequired(faults);
         } else {
-            validateValue(read[0], read[1], faults, steps);
+            validateValue(candidates[0], candidates[1], faults, maxSteps);
         }
     }
 
+    /** Adds a fault if this parameter, which is missing, is required. */
     private void checkRequired(List<Fault> faults) {
         if (required) {
             faults.add(newFault("required", "must be given"));
@@ -138,71 +141,85 @@
         return new Fault(in, '/' + Json.escapeToken(name), keyword, message);
     }
 
-    /** {@code name[member]=value}. */
+    /**
+     * Parses the style deepObject, {@code name[member]=value}. Returns two objects, with members coerced to typed values and
+     * with strings preferred; both are null if there is no member. Returns null and adds a fault if a member is repeated.
+     */
     private JsonNode[] parseDeepObject(List<QueryPair> pairs, List<Fault> faults) {
-        Map<String, List<String>> found = new LinkedHashMap<>();
+        Map<String, List<String>> valuesByMember = new LinkedHashMap<>();
         for (QueryPair pair : pairs) {
             if (pair.name().startsWith(name + '[') && pair.name().endsWith("]")) {
-                found.computeIfAbsent(pair.name().substring(name.length() + 1, pair.name().length() - 1),
-                    n -> new ArrayList<>()).add(pair.value());
+                valuesByMember.computeIfAbsent(pair.name().substring(name.length() + 1, pair.name().length() - 1),
+                    member -> new ArrayList<>()).add(pair.value());
             }
         }
-        JsonNode[] read = new JsonNode[2];
-        for (int way = 0; way < 2 && !found.isEmpty(); way++) {
+        JsonNode[] candidates = new JsonNode[2];
+        for (int variant = 0; variant < 2 && !valuesByMember.isEmpty(); variant++) {
             ObjectNode object = JsonNodeFactory.instance.objectNode();
-            for (Map.Entry<String, List<String>> member : found.entrySet()) {
-                ExpectedType of = expectedType.property(member.getKey());
-                if (member.getValue().size() > 1 && !of.isArray()) {
+            for (Map.Entry<String, List<String>> member : valuesByMember.entrySet()) {
+                ExpectedType memberType = expectedType.property(member.getKey());
+                if (member.getValue().size() > 1 && !memberType.isArray()) {
                     faults.add(newFault("repeated", "must stand there once"));
                     return null;
                 }
-                object.set(member.getKey(), of.isArray() ? toArray(of.items(), member.getValue(), way == 1)
-                    : of.coerce(member.getValue().get(0), way == 1));
+                object.set(member.getKey(), memberType.isArray() ? toArray(memberType.items(), member.getValue(), variant == 1)
+                    : memberType.coerce(member.getValue().get(0), variant == 1));
             }
-            read[way] = object;
+            candidates[variant] = object;
         }
-        return read;
+        return candidates;
     }
 
-    /** An exploded object: its members stand among the other parameters. */
+    /**
+     * Parses an exploded object, whose members are parameters of their own. Returns two objects, with members coerced to typed
+     * values and with strings preferred; both are null if there is no member.
+     */
     private JsonNode[] parseExplodedObject(List<QueryPair> pairs) {
-        JsonNode[] read = new JsonNode[2];
-        for (int way = 0; way < 2; way++) {
+        JsonNode[] candidates = new JsonNode[2];
+        for (int variant = 0; variant < 2; variant++) {
             ObjectNode object = JsonNodeFactory.instance.objectNode();
             for (QueryPair pair : pairs) {
                 if (expectedType.propertyNames().contains(pair.name())) {
-                    object.set(pair.name(), expectedType.property(pair.name()).coerce(pair.value(), way == 1));
+                    object.set(pair.name(), expectedType.property(pair.name()).coerce(pair.value(), variant == 1));
                 }
             }
-            read[way] = object.isEmpty() ? null : object;
+            candidates[variant] = object.isEmpty() ? null : object;
         }
-        return read;
+        return candidates;
     }
 
-    private void validateText(String whole, List<String> parts, List<Fault> faults, long steps) throws SyntaxException {
+    /**
+     * Validates a value as the expected type requires.
+     *
+     * @param text  the whole text
+     * @param parts the text split into elements, or into names and values
+     */
+    private void validateText(String text, List<String> parts, List<Fault> faults, long maxSteps) throws SyntaxException {
         if (jsonEncoded) {
             JsonNode value;
             try {
-                value = Json.parseMessage(whole.getBytes(in.equals("header")
-                    ? java.nio.charset.StandardCharsets.ISO_8859_1 : java.nio.charset.StandardCharsets.UTF_8));
+                value = Json.parseMessage(text.getBytes(in.equals("header")
+                    ? StandardCharsets.ISO_8859_1 : StandardCharsets.UTF_8));
             } catch (SyntaxException e) {
                 throw new SyntaxException(0, in + " parameter " + name + ": " + e.getMessage());
             }
-            validateValue(value, value, faults, steps);
+            validateValue(value, value, faults, maxSteps);
         } else if (parts.size() > MAX_PARTS) {
             faults.add(newFault("maxItems", "must have " + MAX_PARTS + " parts or fewer"));
         } else if (expectedType.isArray()) {
-            validateValue(toArray(expectedType.items(), parts, false), toArray(expectedType.items(), parts, true), faults, steps);
+            validateValue(toArray(expectedType.items(), parts, false), toArray(expectedType.items(), parts, true), faults,
+                maxSteps);
         } else if (expectedType.isObject()) {
-            validateObject(parts, faults, steps);
+            validateObject(parts, faults, maxSteps);
         } else {
-            validateValue(expectedType.coerce(whole, false), expectedType.coerce(whole, true), faults, steps);
+            validateValue(expectedType.coerce(text, false), expectedType.coerce(text, true), faults, maxSteps);
         }
     }
 
-    private void validateObject(List<String> parts, List<Fault> faults, long steps) {
-        ObjectNode numbers = JsonNodeFactory.instance.objectNode();
-        ObjectNode strings = JsonNodeFactory.instance.objectNode();
+    /** Validates an object whose parts are {@code name=value} if exploded, else names and values in turn. */
+    private void validateObject(List<String> parts, List<Fault> faults, long maxSteps) {
+        ObjectNode coerced = JsonNodeFactory.instance.objectNode();
+        ObjectNode asStrings = JsonNodeFactory.instance.objectNode();
         for (int i = 0; i < parts.size(); i += explode ? 1 : 2) {
             int equals = explode ? parts.get(i).indexOf('=') : 0;
             if (equals < 0 || !explode && i + 1 >= parts.size()) {
@@ -211,34 +228,37 @@
             }
             String key = explode ? parts.get(i).substring(0, equals) : parts.get(i);
             String value = explode ? parts.get(i).substring(equals + 1) : parts.get(i + 1);
-            numbers.set(key, expectedType.property(key).coerce(value, false));
-            strings.set(key, expectedType.property(key).coerce(value, true));
+            coerced.set(key, expectedType.property(key).coerce(value, false));
+            asStrings.set(key, expectedType.property(key).coerce(value, true));
         }
-        validateValue(numbers, strings, faults, steps);
+        validateValue(coerced, asStrings, faults, maxSteps);
     }
 
-    static ArrayNode toArray(ExpectedType of, List<String> parts, boolean strings) {
+    /** Converts parts to an array; {@code preferStrings} is as in {@link ExpectedType#coerce}. */
+    static ArrayNode toArray(ExpectedType itemType, List<String> parts, boolean preferStrings) {
         ArrayNode array = JsonNodeFactory.instance.arrayNode();
-        parts.forEach(part -> array.add(of.coerce(part, strings)));
+        parts.forEach(part -> array.add(itemType.coerce(part, preferStrings)));
         return array;
     }
 
-    /** Text that may be read in two ways conforms if one of them does. */
-    private void validateValue(JsonNode value, JsonNode other, List<Fault> faults, long steps) {
+    /** Validates a value. Text that can be coerced in two ways conforms if either value does. */
+    private void validateValue(JsonNode value, JsonNode alternative, List<Fault> faults, long maxSteps) {
         if (schema == null || value.isString() && schema.acceptsAnyString()) {
             return;
         }
-        List<Fault> found = schema.validate(value, SchemaCompiler.Direction.REQUEST, in, '/' + Json.escapeToken(name), steps);
-        if (!found.isEmpty() && !value.equals(other)) {
-            found = schema.conforms(other, SchemaCompiler.Direction.REQUEST, steps) ? List.of() : found;
+        List<Fault> valueFaults = schema.validate(value, SchemaCompiler.Direction.REQUEST, in, '/' + Json.escapeToken(name),
+            maxSteps);
+        if (!valueFaults.isEmpty() && !value.equals(alternative)) {
+            valueFaults = schema.conforms(alternative, SchemaCompiler.Direction.REQUEST, maxSteps) ? List.of() : valueFaults;
         }
-        faults.addAll(found);
+        faults.addAll(valueFaults);
     }
 
-    /** A name and a value of a query or a form, decoded, and the value as it came. */
+    /** A decoded name and value of a query or a form; {@code rawValue} is the value before decoding. */
     record QueryPair(String name, String value, String rawValue) {
         private static final int MAX_PAIRS = 2_000;
 
+        /** Parses a query or a form. */
         static List<QueryPair> parse(String text) throws SyntaxException {
             List<QueryPair> pairs = new ArrayList<>();
             for (String part : text.isEmpty() ? new String[0] : text.split("&", -1)) {
@@ -247,30 +267,30 @@
                 }
                 if (!part.isEmpty()) {
                     int equals = part.indexOf('=');
-                    String raw = equals < 0 ? "" : part.substring(equals + 1);
+                    String rawValue = equals < 0 ? "" : part.substring(equals + 1);
                     pairs.add(new QueryPair(PercentEncoding.decode(equals < 0 ? part : part.substring(0, equals), true),
-                        PercentEncoding.decode(raw, true), raw));
+                        PercentEncoding.decode(rawValue, true), rawValue));
                 }
             }
             return pairs;
         }
     }
 
-    /** The pieces of all Cookie lines that have this name. */
-    static List<String> cookieValues(List<String> lines, String name) {
+    /** Returns the values of all cookies with this name in the Cookie headers. */
+    static List<String> cookieValues(List<String> headers, String name) {
         List<String> values = new ArrayList<>();
-        for (String line : lines) {
-            for (String piece : line.split(";")) {
-                int equals = piece.indexOf('=');
-                if (equals > 0 && piece.substring(0, equals).strip().equals(name)) {
-                    values.add(piece.substring(equals + 1).strip());
+        for (String header : headers) {
+            for (String cookie : header.split(";")) {
+                int equals = cookie.indexOf('=');
+                if (equals > 0 && cookie.substring(0, equals).strip().equals(name)) {
+                    values.add(cookie.substring(equals + 1).strip());
                 }
             }
         }
         return values;
     }
 
-    /** Headers that OpenAPI leaves to other parts of a description. */
+    /** Whether OpenAPI ignores header parameters of this name, as other parts of a description specify them. */
     static boolean isIgnoredHeader(String name) {
         return Set.of("accept", "content-type", "authorization").contains(name.toLowerCase(Locale.ROOT));
     }
--- a/src/main/java/badgermux/contract/PercentEncoding.java
+++ b/src/main/java/badgermux/contract/PercentEncoding.java
@@ -3,37 +3,38 @@
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
 
-/** Percent-encoding (RFC 3986, 2.1), undone strictly: what is no UTF-8 is refused, overlong forms included. */
+/** Decodes percent-encoding (RFC 3986, 2.1) strictly: anything but valid UTF-8, such as an overlong form, is refused. */
 final class PercentEncoding {
     private PercentEncoding() { }
 
+    /** Decodes text whose chars are bytes. */
     static String decode(String text) throws SyntaxException {
         return decode(text, false);
     }
 
-    /** {@code form}: a plus stands for a blank, as in application/x-www-form-urlencoded. */
-    static String decode(String text, boolean form) throws SyntaxException {
-        if (text.indexOf('%') < 0 && (!form || text.indexOf('+') < 0) && isAscii(text)) {
+    /** Decodes text whose chars are bytes; {@code plusIsSpace} is for {@code application/x-www-form-urlencoded}. */
+    static String decode(String text, boolean plusIsSpace) throws SyntaxException {
+        if (text.indexOf('%') < 0 && (!plusIsSpace || text.indexOf('+') < 0) && isAscii(text)) {
             return text;
         }
-        ByteArrayOutputStream out = new ByteArrayOutputStream(text.length());
+        ByteArrayOutputStream decoded = new ByteArrayOutputStream(text.length());
         byte[] bytes = text.getBytes(StandardCharsets.ISO_8859_1);
         for (int i = 0; i < bytes.length; i++) {
-            if (bytes[i] == '+' && form) {
-                out.write(' ');
+            if (bytes[i] == '+' && plusIsSpace) {
+                decoded.write(' ');
             } else if (bytes[i] != '%') {
-                out.write(bytes[i]);
+                decoded.write(bytes[i]);
             } else {
                 int high = i + 3 <= bytes.length ? Character.digit(bytes[i + 1], 16) : -1;
                 int low = i + 3 <= bytes.length ? Character.digit(bytes[i + 2], 16) : -1;
                 if (high < 0 || low < 0) {
                     throw new SyntaxException(0, "percent-encoding is malformed");
                 }
-                out.write(high << 4 | low);
+                decoded.write(high << 4 | low);
                 i += 2;
             }
         }
-        return Json.decodeUtf8(out.toByteArray());
+        return Json.decodeUtf8(decoded.toByteArray());
     }
 
     private static boolean isAscii(String text) {
--- a/src/main/java/badgermux/contract/RouteTable.java
+++ b/src/main/java/badgermux/contract/RouteTable.java
@@ -9,11 +9,11 @@
 import java.util.Map;
 
 /**
- * Path templates as a tree of segments. A look-up goes down literals before templates with literal parts before plain
- * parameters, so that a concrete path wins over a template as OpenAPI asks; its cost grows with the path, not with the
- * number of routes.
+ * A table of routes by path template, stored as a tree of path segments. A lookup tries literal segments first, then segments
+ * with literal parts and parameters, then plain parameters. A concrete path is therefore preferred to a template, as OpenAPI
+ * requires. The cost of a lookup grows with the length of the path, not with the number of routes.
  *
- * @param <T> what a route leads to
+ * @param <T> the value of a route
  */
 final class RouteTable<T> {
     /** How many segments a path may have. */
@@ -22,8 +22,14 @@
     /** A route and the values of its parameters, in the order in which the template names them. */
     record Match<T>(T route, List<String> parameterValues) { }
 
-    /** A segment with parameters in it; {@code whole} where it is one parameter and nothing else. */
+    /**
+     * An edge of the tree for a segment with parameters.
+     *
+     * @param normalizedSegment the segment with the parameters' names left out
+     * @param pattern           matches the segment; null if it consists of one parameter and nothing else
+     */
     private record TemplateEdge<T>(String normalizedSegment, Pattern pattern, Node<T> child) {
+        /** Whether one parameter stands for the whole segment. */
         boolean isWholeSegment() {
             return pattern == null;
         }
@@ -38,70 +44,75 @@
     private final Node<T> root = new Node<>();
     private int size;
 
-    /** Puts a route at a template; returns the one that stands there already, whose parameters may have other names. */
+    /**
+     * Adds a route for a path template and returns null. If there is a route for the same template already, returns it and
+     * changes nothing; the names of its parameters may differ.
+     */
     T put(String template, T route) {
-        Node<T> at = root;
+        Node<T> node = root;
         for (String segment : template.substring(1).split("/", -1)) {
-            at = segment.indexOf('{') < 0 ? at.literalChildren.computeIfAbsent(segment, s -> new Node<>()) : templateChild(at, segment);
+            node = segment.indexOf('{') < 0 ? node.literalChildren.computeIfAbsent(segment, literal -> new Node<>())
+                : templateChild(node, segment);
         }
-        T known = at.route;
-        if (known == null) {
-            at.route = route;
+        T existing = node.route;
+        if (existing == null) {
+            node.route = route;
             size++;
         }
-        return known;
+        return existing;
     }
 
     int size() {
         return size;
     }
 
-    private static <T> Node<T> templateChild(Node<T> at, String segment) {
-        String shape = segment.replaceAll("\\{[^}]*}", "{}");
-        for (TemplateEdge<T> template : at.templateChildren) {
-            if (template.normalizedSegment.equals(shape)) {
-                return template.child;
+    /** Returns the child for a segment with parameters, and adds it if necessary. */
+    private static <T> Node<T> templateChild(Node<T> node, String segment) {
+        String normalizedSegment = segment.replaceAll("\\{[^}]*}", "{}");
+        for (TemplateEdge<T> edge : node.templateChildren) {
+            if (edge.normalizedSegment.equals(normalizedSegment)) {
+                return edge.child;
             }
         }
         StringBuilder pattern = new StringBuilder();
-        for (String part : shape.split("\\{}", -1)) {
+        for (String part : normalizedSegment.split("\\{}", -1)) {
             pattern.append(pattern.isEmpty() ? "" : "(.+?)").append(Pattern.quote(part));
             if (pattern.isEmpty()) {
                 pattern.append("(?:)");
             }
         }
-        TemplateEdge<T> made = new TemplateEdge<>(shape,
-            shape.equals("{}") ? null : Pattern.compile(pattern.toString(), Pattern.DOTALL), new Node<>());
-        at.templateChildren.add(made);
-        // Among templates, the one with the longest literal part is the most concrete.
-        at.templateChildren.sort(Comparator.comparingInt((TemplateEdge<T> t) -> -t.normalizedSegment.length()));
-        return made.child;
+        TemplateEdge<T> newEdge = new TemplateEdge<>(normalizedSegment,
+            normalizedSegment.equals("{}") ? null : Pattern.compile(pattern.toString(), Pattern.DOTALL), new Node<>());
+        node.templateChildren.add(newEdge);
+        // Edges with longer literal parts are more concrete and are tried first.
+        node.templateChildren.sort(Comparator.comparingInt((TemplateEdge<T> candidate) -> -candidate.normalizedSegment.length()));
+        return newEdge.child;
     }
 
-    /** The names of a template's parameters. */
+    /** Returns the names of a template's parameters in their order. */
     static List<String> parameterNames(String template) {
         List<String> names = new ArrayList<>();
-        for (int open = template.indexOf('{'); open >= 0; open = template.indexOf('{', open + 1)) {
-            int close = template.indexOf('}', open);
-            names.add(template.substring(open + 1, close < 0 ? template.length() : close));
+        for (int start = template.indexOf('{'); start >= 0; start = template.indexOf('{', start + 1)) {
+            int end = template.indexOf('}', start);
+            names.add(template.substring(start + 1, end < 0 ? template.length() : end));
         }
         return names;
     }
 
     /**
-     * The route of a path; null where there is none.
+     * Returns the route of a path; null if there is none.
      *
-     * @throws SyntaxException for a path that readers may take for different ones
+     * @throws SyntaxException if the path has too many segments, or if a backend might interpret it as another path
      */
     Match<T> find(String path) throws SyntaxException {
-        String[] raw = path.substring(1).split("/", -1);
-        if (raw.length > MAX_SEGMENTS) {
+        String[] rawSegments = path.substring(1).split("/", -1);
+        if (rawSegments.length > MAX_SEGMENTS) {
             throw new SyntaxException(0, "the path has more than " + MAX_SEGMENTS + " segments");
         }
-        String[] segments = new String[raw.length];
-        for (int i = 0; i < raw.length; i++) {
-            segments[i] = PercentEncoding.decode(raw[i]);
-            // Guards against a path that a backend takes for another one once it has tidied it up.
+        String[] segments = new String[rawSegments.length];
+        for (int i = 0; i < rawSegments.length; i++) {
+            segments[i] = PercentEncoding.decode(rawSegments[i]);
+            // A backend that normalizes such a path would serve another one than was validated.
             if (segments[i].equals(".") || segments[i].equals("..") || segments[i].indexOf('\0') >= 0) {
                 throw new SyntaxException(0, "the path has a dot segment or a NUL");
             }
@@ -111,32 +122,33 @@
         return route == null ? null : new Match<>(route, values);
     }
 
-    private T find(Node<T> at, String[] segments, int depth, List<String> values) {
+    /** Searches below a node, with backtracking; {@code values} receives the parameter values on the way to the route. */
+    private T find(Node<T> node, String[] segments, int depth, List<String> values) {
         if (depth == segments.length) {
-            return at.route;
+            return node.route;
         }
-        Node<T> literal = at.literalChildren.get(segments[depth]);
+        Node<T> literal = node.literalChildren.get(segments[depth]);
         T found = literal == null ? null : find(literal, segments, depth + 1, values);
-        int before = values.size();
-        for (int i = 0; found == null && i < at.templateChildren.size(); i++) {
-            TemplateEdge<T> template = at.templateChildren.get(i);
-            if (matchSegment(template, segments[depth], values)) {
-                found = find(template.child, segments, depth + 1, values);
+        int valueCountBefore = values.size();
+        for (int i = 0; found == null && i < node.templateChildren.size(); i++) {
+            TemplateEdge<T> edge = node.templateChildren.get(i);
+            if (matchSegment(edge, segments[depth], values)) {
+                found = find(edge.child, segments, depth + 1, values);
             }
             if (found == null) {
-                values.subList(before, values.size()).clear();
+                values.subList(valueCountBefore, values.size()).clear();
             }
         }
         return found;
     }
 
-    /** A parameter is never empty: an empty segment is another path. */
-    private static <T> boolean matchSegment(TemplateEdge<T> template, String segment, List<String> values) {
-        if (template.isWholeSegment()) {
+    /** Matches a segment and adds the values of its parameters. A parameter never matches empty text. */
+    private static <T> boolean matchSegment(TemplateEdge<T> edge, String segment, List<String> values) {
+        if (edge.isWholeSegment()) {
             values.add(segment);
             return !segment.isEmpty();
         }
-        Matcher matcher = template.pattern.matcher(segment);
+        Matcher matcher = edge.pattern.matcher(segment);
         if (!matcher.matches()) {
             return false;
         }
