--- a/src/main/java/badgermux/contract/SchemaCompiler.java
+++ b/src/main/java/badgermux/contract/SchemaCompiler.java
@@ -23,26 +23,31 @@
 import java.util.Map;
 import java.util.Set;
 import tools.jackson.databind.JsonNode;
+import tools.jackson.databind.node.JsonNodeFactory;
 
 /**
- * The schemas of one description, compiled by the networknt validator in the description's own dialect. A judgement takes
- * a bounded number of steps; patterns run on RE2/J, whose time is linear in the text (Cox, "Regular Expression Matching
- * Can Be Simple And Fast", 2007).
+ * Compiles the schemas of one description with the networknt validator, in the description's own dialect. A validation
+ * takes a bounded number of steps. Patterns run on RE2/J, whose time is linear in the text (Cox, "Regular Expression
+ * Matching Can Be Simple And Fast", 2007).
  */
 final class SchemaCompiler {
-    /** Who sends the message: a request may not bring what is read-only, a response not what is write-only. */
+    /** The direction of a message: a request may not contain read-only members, a response no write-only ones. */
     enum Direction { REQUEST, RESPONSE, EVENT }
 
-    /** How many keywords one judgement may evaluate, at once and in all, and how deep they may nest. */
-    static final long MAX_QUICK_STEPS = 4_000, MAX_STEPS = 400_000;
+    /** The number of keywords that one validation on the event loop may evaluate. */
+    static final long MAX_QUICK_STEPS = 4_000;
+    /** The number of keywords that any other validation may evaluate. */
+    static final long MAX_STEPS = 400_000;
+    /** How deep evaluated keywords may nest. */
     private static final int MAX_EVALUATION_DEPTH = 400;
-    /** Guards against a pattern whose automaton alone fills the heap. */
+    /** In characters. The automaton of a longer pattern could exhaust the heap. */
     private static final int MAX_PATTERN_LENGTH = 2_000;
 
+    /** The keywords that, beside {@code type: string}, put no restriction on a string. */
     private static final Set<String> NON_RESTRICTING_KEYWORDS = Set.of("type", "title", "description", "example", "examples",
         "default", "deprecated", "nullable");
 
-    /** One compiled schema. */
+    /** A schema that is ready to validate values. */
     final class CompiledSchema {
         private final Schema schema;
         private final String pointer;
@@ -56,19 +61,28 @@
                 && NON_RESTRICTING_KEYWORDS.containsAll(node.propertyNames());
         }
 
-        /** Whether every string conforms: most parameters ask for no more, and the validator's set-up costs 1 us. */
+        /**
+         * Whether every string conforms. Most parameters have such a schema, and skipping the validator saves its set-up time
+         * of 1 us.
+         */
         boolean acceptsAnyString() {
             return acceptsAnyString;
         }
 
-        /** Where it stands in the bundle. */
+        /** Returns the JSON pointer of the schema in the document bundle. */
         String pointer() {
             return pointer;
         }
 
-        /** The faults of a value, at most {@link ValidationResult#MAX_FAULTS}; {@code steps} bounds the work. */
-        List<Fault> validate(JsonNode value, Direction way, String in, String prefix, long steps) {
-            ExecutionContext context = new ExecutionContext(executionConfig(way, steps));
+        /**
+         * Returns the faults of a value, at most {@link ValidationResult#MAX_FAULTS}.
+         *
+         * @param in            the part of the message that holds the value, as in {@link Fault#in}
+         * @param pointerPrefix the JSON pointer of the value in that part
+         * @throws StepLimitException if the validation takes more than {@code maxSteps} steps, or nests too deep
+         */
+        List<Fault> validate(JsonNode value, Direction direction, String in, String pointerPrefix, long maxSteps) {
+            ExecutionContext context = new ExecutionContext(executionConfig(direction, maxSteps));
             context.setErrors(new BoundedErrorList());
             try {
                 schema.validate(context, value);
@@ -80,18 +94,23 @@
             }
             List<Fault> faults = new ArrayList<>();
             for (Error error : context.getErrors()) {
-                faults.add(new Fault(in, prefix + toPointer(error.getInstanceLocation()), error.getKeyword(),
+                faults.add(new Fault(in, pointerPrefix + toPointer(error.getInstanceLocation()), error.getKeyword(),
                     FaultMessages.describe(error)));
             }
             return faults;
         }
 
-        boolean conforms(JsonNode value, Direction way, long steps) {
-            return validate(value, way, "", "", steps).isEmpty();
+        /**
+         * Whether a value conforms.
+         *
+         * @throws StepLimitException if the validation takes more than {@code maxSteps} steps, or nests too deep
+         */
+        boolean conforms(JsonNode value, Direction direction, long maxSteps) {
+            return validate(value, direction, "", "", maxSteps).isEmpty();
         }
     }
 
-    /** Keeps the first errors only: a long array of wrong items brings one for each. */
+    /** Keeps only the first errors, as a long array can have one error for each item. */
     private static final class BoundedErrorList extends ArrayList<Error> {
         private static final long serialVersionUID = 1L;
 
@@ -106,60 +125,65 @@
     private final Map<Direction, ExecutionConfig> quickConfigs = new HashMap<>();
     private final Map<Direction, ExecutionConfig> fullConfigs = new HashMap<>();
 
-    /** {@code wholeFractions}: whether 1.0 is an integer, as it is since draft 6 of JSON Schema. */
-    SchemaCompiler(DocumentBundle bundle, Dialect dialect, boolean wholeFractions) {
+    /** {@code losslessNarrowing} says whether 1.0 is an integer, as it is since draft 6 of JSON Schema. */
+    SchemaCompiler(DocumentBundle bundle, Dialect dialect, boolean losslessNarrowing) {
         this.bundle = bundle;
         SchemaRegistryConfig config = SchemaRegistryConfig.builder().formatAssertionsEnabled(true).preloadSchema(false)
-            .cacheRefs(true).losslessNarrowing(wholeFractions).locale(Locale.ROOT).pathType(PathType.JSON_POINTER)
+            .cacheRefs(true).losslessNarrowing(losslessNarrowing).locale(Locale.ROOT).pathType(PathType.JSON_POINTER)
             .messageSource((key, fallback, locale, arguments) -> "")
             .regularExpressionFactory(SchemaCompiler::compilePattern).build();
-        // What a schema does not know, such as the description's own parts and extensions, has no say in it.
-        Dialect quiet = Dialect.builder(dialect)
+        // Unknown keywords, such as the description's other objects and extensions, are ignored.
+        Dialect lenientDialect = Dialect.builder(dialect)
             .unknownKeywordFactory((keyword, context) -> new NonValidationKeyword(keyword)).formats(OpenApiFormats.all())
             .build();
-        SchemaRegistry registry = SchemaRegistry.withDefaultDialect(quiet, builder -> builder
+        SchemaRegistry registry = SchemaRegistry.withDefaultDialect(lenientDialect, builder -> builder
             .schemaRegistryConfig(config)
             .schemaLoader(loader -> loader.resourceLoaders(loaders -> loaders.values(List::clear))));
         root = registry.getSchema(SchemaLocation.of("contract:/description"), bundle.root());
-        for (Direction way : Direction.values()) {
-            quickConfigs.put(way, newExecutionConfig(way, MAX_QUICK_STEPS));
-            fullConfigs.put(way, newExecutionConfig(way, MAX_STEPS));
+        for (Direction direction : Direction.values()) {
+            quickConfigs.put(direction, newExecutionConfig(direction, MAX_QUICK_STEPS));
+            fullConfigs.put(direction, newExecutionConfig(direction, MAX_STEPS));
         }
     }
 
-    private ExecutionConfig executionConfig(Direction way, long steps) {
-        return steps == MAX_QUICK_STEPS ? quickConfigs.get(way) : steps == MAX_STEPS ? fullConfigs.get(way) : newExecutionConfig(way, steps);
+    private ExecutionConfig executionConfig(Direction direction, long maxSteps) {
+        return maxSteps == MAX_QUICK_STEPS ? quickConfigs.get(direction)
+            : maxSteps == MAX_STEPS ? fullConfigs.get(direction) : newExecutionConfig(direction, maxSteps);
     }
 
-    private static ExecutionConfig newExecutionConfig(Direction way, long steps) {
+    private static ExecutionConfig newExecutionConfig(Direction direction, long maxSteps) {
         return ExecutionConfig.builder().locale(Locale.ROOT).formatAssertionsEnabled(true)
-            .readOnly(way == Direction.REQUEST).writeOnly(way == Direction.RESPONSE).maxEvaluationSteps(steps)
+            .readOnly(direction == Direction.REQUEST).writeOnly(direction == Direction.RESPONSE).maxEvaluationSteps(maxSteps)
             .maxEvaluationDepth(MAX_EVALUATION_DEPTH).build();
     }
 
-    /** Compiles the schema at a pointer, with all that it refers to. */
+    /**
+     * Compiles the schema at a pointer, with all schemas that it refers to. Validates a null value once, which reveals
+     * references without an end.
+     *
+     * @throws DescriptionException if the schema can't be used
+     */
     CompiledSchema compile(String pointer) throws DescriptionException {
-        CompiledSchema known = compiledSchemas.get(pointer);
-        if (known != null) {
-            return known;
+        CompiledSchema cached = compiledSchemas.get(pointer);
+        if (cached != null) {
+            return cached;
         }
         NodePath path = new NodePath(PathType.JSON_POINTER);
-        JsonNode at = bundle.root();
-        for (String step : Json.pointerTokens(pointer)) {
-            path = at.isArray() ? path.append(Integer.parseInt(step)) : path.append(step);
-            at = at.isArray() ? at.get(Integer.parseInt(step)) : at.get(step);
+        JsonNode node = bundle.root();
+        for (String token : Json.pointerTokens(pointer)) {
+            path = node.isArray() ? path.append(Integer.parseInt(token)) : path.append(token);
+            node = node.isArray() ? node.get(Integer.parseInt(token)) : node.get(token);
         }
-        if (at == null || !at.isObject() && !at.isBoolean()) {
+        if (node == null || !node.isObject() && !node.isBoolean()) {
             throw new DescriptionException(bundle.problemAt(pointer, "a schema must be an object or true or false"));
         }
         try {
             Schema schema = root.getRefSchema(path);
             schema.initializeValidators();
-            CompiledSchema made = new CompiledSchema(schema, pointer);
-            made.validate(tools.jackson.databind.node.JsonNodeFactory.instance.nullNode(), Direction.REQUEST, "", "",
-                MAX_STEPS);
-            compiledSchemas.put(pointer, made);
-            return made;
+            CompiledSchema compiled = new CompiledSchema(schema, pointer);
+            compiled.validate(JsonNodeFactory.instance.nullNode(), Direction.REQUEST, "", "", MAX_STEPS);
+            compiledSchemas.put(pointer, compiled);
+            return compiled;
         } catch (StepLimitException e) {
             throw new DescriptionException(bundle.problemAt(pointer, "the schema refers to itself without an end"));
         } catch (RuntimeException e) {
@@ -179,47 +203,47 @@
         return bundle.problemAt(pointer, reason);
     }
 
-    /** A pattern that the linear engine can't take. */
+    /** A pattern that RE2/J can't compile, or that is too long. */
     private static final class UnsupportedPatternException extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
         private final String pattern;
 
-        UnsupportedPatternException(String pattern, String why) {
-            super("pattern can't be run in linear time, or is malformed: " + why, null, false, false);
+        UnsupportedPatternException(String pattern, String reason) {
+            super("pattern can't be run in linear time, or is malformed: " + reason, null, false, false);
             this.pattern = pattern;
         }
 
-        /** Where it stands, looked for below a schema first. */
-        String locate(DocumentBundle in, String from) {
-            String found = locate(in.valueAt(from), from);
+        /** Returns the pointer of the pattern, searched first below {@code start}, then in the whole bundle. */
+        String locate(DocumentBundle bundle, String start) {
+            String found = locate(bundle.valueAt(start), start);
             if (found == null) {
-                found = locate(in.root(), "");
+                found = locate(bundle.root(), "");
             }
-            return found == null ? from : found;
+            return found == null ? start : found;
         }
 
-        private String locate(JsonNode node, String at) {
+        private String locate(JsonNode node, String pointer) {
             if (node == null) {
                 return null;
             }
             if (node.isObject()) {
-                JsonNode own = node.get("pattern");
-                if (own != null && own.isString() && own.stringValue().equals(pattern)) {
-                    return at + "/pattern";
+                JsonNode patternNode = node.get("pattern");
+                if (patternNode != null && patternNode.isString() && patternNode.stringValue().equals(pattern)) {
+                    return pointer + "/pattern";
                 }
                 for (Map.Entry<String, JsonNode> member : node.properties()) {
                     if (member.getKey().equals(pattern)) {
-                        return at + '/' + Json.escapeToken(pattern);
+                        return pointer + '/' + Json.escapeToken(pattern);
                     }
-                    String found = locate(member.getValue(), at + '/' + Json.escapeToken(member.getKey()));
+                    String found = locate(member.getValue(), pointer + '/' + Json.escapeToken(member.getKey()));
                     if (found != null) {
                         return found;
                     }
                 }
             }
             for (int i = 0; node.isArray() && i < node.size(); i++) {
-                String found = locate(node.get(i), at + '/' + i);
+                String found = locate(node.get(i), pointer + '/' + i);
                 if (found != null) {
                     return found;
                 }
@@ -228,7 +252,10 @@
         }
     }
 
-    /** ECMA 262's unicode escapes in RE2's form; all else is alike, or refused. */
+    /**
+     * Compiles an ECMA 262 pattern with RE2/J. Only the Unicode escapes have to be rewritten: RE2/J reads all other syntax
+     * the same way or refuses it.
+     */
     private static RegularExpression compilePattern(String text) {
         if (text.length() > MAX_PATTERN_LENGTH) {
             throw new UnsupportedPatternException(text, "longer than " + MAX_PATTERN_LENGTH + " characters");
@@ -242,7 +269,7 @@
         }
     }
 
-    /** An instance's location as a pointer, each name cut to what may be sent back. */
+    /** Returns a location in a message as a JSON pointer, with each name truncated to the length that may be sent back. */
     private static String toPointer(NodePath path) {
         StringBuilder text = new StringBuilder();
         for (int i = 0; i < path.getNameCount(); i++) {
--- a/src/main/java/badgermux/contract/StepLimitException.java
+++ b/src/main/java/badgermux/contract/StepLimitException.java
@@ -1,6 +1,6 @@
 package badgermux.contract;
 
-/** A judgement took more steps than it may: nothing is known of the message. */
+/** Thrown if a validation exceeds its step limit, and it is not known whether the message conforms. */
 public final class StepLimitException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/badgermux/contract/SyntaxException.java
+++ b/src/main/java/badgermux/contract/SyntaxException.java
@@ -1,6 +1,6 @@
 package badgermux.contract;
 
-/** Text that is no JSON or YAML, or passes a bound; {@link #line} counts from 1, 0 where it is not known. */
+/** Thrown if text can't be parsed or exceeds a limit. */
 final class SyntaxException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -11,6 +11,7 @@
         this.line = line;
     }
 
+    /** Returns the line of the error, counted from 1; 0 if it is not known. */
     int line() {
         return line;
     }
--- a/src/main/java/badgermux/contract/ValidationResult.java
+++ b/src/main/java/badgermux/contract/ValidationResult.java
@@ -3,17 +3,16 @@
 import java.util.List;
 
 /**
- * What a judgement says of a message.
+ * The result of validating a message.
  *
- * @param status      0 where it conforms; else the HTTP status of its refusal
- * @param faults      why not, at most {@link #MAX_FAULTS}
- * @param allowed       for 405 the methods that the path has, for 415 the media types that it takes; else empty
- * @param description the description that says so; empty where no description has the path
+ * @param status      0 if the message conforms, else the HTTP status of the refusal
+ * @param faults      the reasons of the refusal; only the first {@link #MAX_FAULTS} are kept
+ * @param allowed     for 405 the methods of the path, for 415 the supported media types; empty otherwise
+ * @param description the name of the description that was applied; empty if none has the path
  */
 public record ValidationResult(int status, List<Fault> faults, String allowed, String description) {
-    /** More faults than these are not told. */
     public static final int MAX_FAULTS = 8;
-    /** The message may pass. */
+    /** The result for a message that conforms. */
     public static final ValidationResult CONFORMS = new ValidationResult(0, List.of(), "", "");
 
     public ValidationResult {
@@ -24,6 +23,7 @@
         return new ValidationResult(status, List.of(faults), "", description);
     }
 
+    /** Whether the message conforms. */
     public boolean conforms() {
         return status == 0;
     }
--- a/src/main/java/badgermux/contract/Yaml.java
+++ b/src/main/java/badgermux/contract/Yaml.java
@@ -10,8 +10,8 @@
 import java.util.Set;
 import org.snakeyaml.engine.v2.api.LoadSettings;
 import org.snakeyaml.engine.v2.api.lowlevel.Compose;
-import org.snakeyaml.engine.v2.exceptions.MarkedYamlEngineException;
 import org.snakeyaml.engine.v2.exceptions.Mark;
+import org.snakeyaml.engine.v2.exceptions.MarkedYamlEngineException;
 import org.snakeyaml.engine.v2.exceptions.YamlEngineException;
 import org.snakeyaml.engine.v2.nodes.MappingNode;
 import org.snakeyaml.engine.v2.nodes.Node;
@@ -25,14 +25,16 @@
 import tools.jackson.databind.node.JsonNodeFactory;
 import tools.jackson.databind.node.ObjectNode;
 
-/** Reads the part of YAML 1.2 that is JSON in another dress: the core schema, names that are scalars, one document. */
+/** Reads the subset of YAML 1.2 that is equivalent to JSON: one document in the core schema, with scalar keys. */
 final class Yaml {
     private static final JsonNodeFactory NODES = JsonNodeFactory.instance;
 
+    /** The number of values read so far. */
     private int valueCount;
 
     private Yaml() { }
 
+    /** Parses a document; an empty one is null in JSON. */
     static JsonNode parseDocument(byte[] bytes) throws SyntaxException {
         Json.decodeUtf8(bytes);
         Node root = compose(bytes);
@@ -54,13 +56,14 @@
         }
     }
 
+    /** Returns the line of a mark, counted from 1; 0 if it is not known. */
     private static int lineNumber(Optional<Mark> mark) {
-        return mark.map(m -> m.getLine() + 1).orElse(0);
+        return mark.map(position -> position.getLine() + 1).orElse(0);
     }
 
     private JsonNode readValue(Node node, int depth) throws SyntaxException {
         int line = lineNumber(node.getStartMark());
-        // Guards against aliases that unfold without end: each use counts.
+        // Values are counted at each use of an alias, so aliases of aliases can't grow without bound.
         if (++valueCount > Document.MAX_VALUES || depth > Document.MAX_DEPTH) {
             throw new SyntaxException(line, "nested too deep, or too many values");
         }
@@ -68,12 +71,12 @@
             ObjectNode object = NODES.objectNode();
             Set<String> names = new HashSet<>();
             for (NodeTuple tuple : mapping.getValue()) {
-                int at = lineNumber(tuple.getKeyNode().getStartMark());
+                int keyLine = lineNumber(tuple.getKeyNode().getStartMark());
                 if (!(tuple.getKeyNode() instanceof ScalarNode key)) {
-                    throw new SyntaxException(at, "a name is no scalar");
+                    throw new SyntaxException(keyLine, "a name is no scalar");
                 }
                 if (!names.add(key.getValue())) {
-                    throw new SyntaxException(at, "a name stands twice in one object: " + key.getValue());
+                    throw new SyntaxException(keyLine, "a name stands twice in one object: " + key.getValue());
                 }
                 object.set(key.getValue(), readValue(tuple.getValueNode(), depth + 1));
             }
@@ -116,29 +119,32 @@
             : value.bitLength() < 64 ? NODES.numberNode(value.longValue()) : NODES.numberNode(value);
     }
 
-    /** The line on which the value at a pointer, or its name, begins; the nearest one above it where there is none. */
-    static int lineOf(byte[] bytes, List<String> pointer) {
+    /**
+     * Returns the line on which the value at a pointer, or its key, begins, counted from 1. If there is no such value, returns
+     * the line of the nearest enclosing one.
+     */
+    static int lineOf(byte[] bytes, List<String> tokens) {
         int line = 1;
         try {
-            Node at = compose(bytes);
-            for (String step : pointer) {
-                Node next = null;
-                if (at instanceof MappingNode mapping) {
+            Node node = compose(bytes);
+            for (String token : tokens) {
+                Node child = null;
+                if (node instanceof MappingNode mapping) {
                     for (NodeTuple tuple : mapping.getValue()) {
-                        if (tuple.getKeyNode() instanceof ScalarNode key && key.getValue().equals(step)) {
-                            next = tuple.getValueNode();
+                        if (tuple.getKeyNode() instanceof ScalarNode key && key.getValue().equals(token)) {
+                            child = tuple.getValueNode();
                             line = lineNumber(key.getStartMark());
                         }
                     }
-                } else if (at instanceof SequenceNode sequence && step.matches("[0-9]{1,8}")
-                        && Integer.parseInt(step) < sequence.getValue().size()) {
-                    next = sequence.getValue().get(Integer.parseInt(step));
-                    line = lineNumber(next.getStartMark());
+                } else if (node instanceof SequenceNode sequence && token.matches("[0-9]{1,8}")
+                        && Integer.parseInt(token) < sequence.getValue().size()) {
+                    child = sequence.getValue().get(Integer.parseInt(token));
+                    line = lineNumber(child.getStartMark());
                 }
-                if (next == null) {
+                if (child == null) {
                     return line;
                 }
-                at = next;
+                node = child;
             }
             return line;
         } catch (SyntaxException e) {
--- a/src/main/java/badgermux/contract/package-info.java
+++ b/src/main/java/badgermux/contract/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Contracts: OpenAPI and AsyncAPI descriptions, read and compiled, and the judgement of messages by them. Free of I/O,
- * clocks and threads: bytes come in, verdicts go out.
+ * Contracts: reads and compiles OpenAPI and AsyncAPI descriptions and validates messages against them. Free of I/O, clocks
+ * and threads: the input is bytes, the output validation results.
  */
 package badgermux.contract;
--- a/src/test/java/badgermux/contract/BodyValidationTest.java
+++ b/src/test/java/badgermux/contract/BodyValidationTest.java
@@ -1,11 +1,11 @@
 package badgermux.contract;
 
-import static badgermux.contract.ContractFixtures.validateWithoutBody;
-import static badgermux.contract.ContractFixtures.summary;
 import static badgermux.contract.ContractFixtures.compileContracts;
-import static badgermux.contract.ContractFixtures.validateJson;
 import static badgermux.contract.ContractFixtures.openApiWithPost;
 import static badgermux.contract.ContractFixtures.postRequest;
+import static badgermux.contract.ContractFixtures.summary;
+import static badgermux.contract.ContractFixtures.validateJson;
+import static badgermux.contract.ContractFixtures.validateWithoutBody;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTimeout;
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Bodies: by media type, in both dialects, and hostile ones within bounds. */
+/** Validation of bodies by media type and schema dialect, and bounds on the cost of hostile bodies. */
 class BodyValidationTest {
     private static String validateBody(String version, String schema, String body) throws DescriptionException {
         return summary(validateJson(compileContracts(openApiWithPost(version, "/a", "[]", schema)), "/a", body));
@@ -35,12 +35,12 @@
         "{type: string, format: date}|\"2026-02-30\"|422  format|422  format",
         "{type: integer, format: int32}|3000000000|422  format|422  format",
         "{type: array, prefixItems: [{type: integer}], items: false}|[1,2]||422  items"})
-    void validatesByDialect(String schema, String body, String old, String now) throws DescriptionException {
-        if (old != null) {
-            assertEquals(old, validateBody("3.0.3", schema, body), "3.0");
+    void validatesByDialect(String schema, String body, String expected30, String expected31) throws DescriptionException {
+        if (expected30 != null) {
+            assertEquals(expected30, validateBody("3.0.3", schema, body), "3.0");
         }
-        if (now != null) {
-            assertEquals(now, validateBody("3.1.0", schema, body), "3.1");
+        if (expected31 != null) {
+            assertEquals(expected31, validateBody("3.1.0", schema, body), "3.1");
         }
     }
 
@@ -53,10 +53,10 @@
                 Cat: {type: object, required: [kind, lives], properties: {kind: {type: string}, lives: {type: integer}}}
                 Dog: {type: object, required: [kind, bark], properties: {kind: {type: string}, bark: {type: string}}}
             """;
-        ContractSet by = compileContracts(text);
-        assertEquals("ok", summary(validateJson(by, "/a", "{\"kind\":\"cat\",\"lives\":9}")));
-        assertFalse(validateJson(by, "/a", "{\"kind\":\"cat\",\"bark\":\"x\"}").conforms());
-        assertFalse(validateJson(by, "/a", "{\"kind\":\"cow\",\"lives\":9}").conforms());
+        ContractSet contracts = compileContracts(text);
+        assertEquals("ok", summary(validateJson(contracts, "/a", "{\"kind\":\"cat\",\"lives\":9}")));
+        assertFalse(validateJson(contracts, "/a", "{\"kind\":\"cat\",\"bark\":\"x\"}").conforms());
+        assertFalse(validateJson(contracts, "/a", "{\"kind\":\"cow\",\"lives\":9}").conforms());
     }
 
     @ParameterizedTest
@@ -64,26 +64,33 @@
         "{\"a\":1,\"a\":2}|400", "1e400|0", "1e999999999|400", "-1e-999999999|400", "[1,2|400", "{} x|400", "\"\\ud800\"|400",
         "\"\\udc00\\ud800\"|400", "\"\\ud83d\\ude00\"|0", "NaN|400", "01|400", "'a'|400", "|422", "{\"\\ud800\":1}|400",
         "[1,]|400", "tru|400", "{\"a\":1}//x|400"})
-    void rejectsNonStrictJson(String body, int status) throws DescriptionException {
-        assertEquals(status, validateJson(compileContracts(openApiWithPost("3.1.0", "/a", "[]", "{}")), "/a", body == null ? "" : body).status());
+    void parsesJsonStrictly(String body, int status) throws DescriptionException {
+        ContractSet contracts = compileContracts(openApiWithPost("3.1.0", "/a", "[]", "{}"));
+        assertEquals(status, validateJson(contracts, "/a", body == null ? "" : body).status());
     }
 
+    /** A byte order mark, UTF-16, overlong forms, encoded surrogates: a backend's parser could read them differently. */
     @Test void rejectsAmbiguousEncodings() throws DescriptionException {
-        ContractSet by = compileContracts(openApiWithPost("3.1.0", "/a", "[]", "{}"));
+        ContractSet contracts = compileContracts(openApiWithPost("3.1.0", "/a", "[]", "{}"));
         Map<String, String> json = Map.of("Content-Type", "application/json");
         for (byte[] bytes : new byte[][] {{(byte) 0xef, (byte) 0xbb, (byte) 0xbf, '1'}, {0, '1'}, {'1', 0},
             {'"', (byte) 0xc0, (byte) 0x80, '"'}, {'"', (byte) 0xed, (byte) 0xa0, (byte) 0x80, '"'}, {(byte) 0xff}}) {
-            assertEquals(400, by.validate(postRequest("/a", json, bytes)).result().status());
+            assertEquals(400, contracts.validate(postRequest("/a", json, bytes)).result().status());
         }
     }
 
-    /** Each would take seconds, gigabytes or the stack without its bound. */
+    /**
+     * Without bounds, these bodies would overflow the stack, or take seconds or gigabytes: deep nesting, a long array of unique
+     * objects, a pattern that makes a backtracking engine exponential, and a recursive schema with three alternatives on each
+     * level.
+     */
     @Test void boundsCostOfHostileBodies() throws DescriptionException {
         String deep = "[".repeat(10_000) + "]".repeat(10_000);
         ContractSet any = compileContracts(openApiWithPost("3.1.0", "/a", "[]", "{}"));
         ContractSet unique = compileContracts(openApiWithPost("3.1.0", "/a", "[]", "{type: array, uniqueItems: true}"));
         ContractSet pattern = compileContracts(openApiWithPost("3.1.0", "/a", "[]", "{type: string, pattern: '^(a+)+$'}"));
-        ContractSet tree = compileContracts(openApiWithPost("3.1.0", "/a", "[]", "{$ref: '#/components/schemas/T'}") + "components:\n  schemas:\n"
+        ContractSet recursive = compileContracts(openApiWithPost("3.1.0", "/a", "[]", "{$ref: '#/components/schemas/T'}")
+            + "components:\n  schemas:\n"
             + "    T: {anyOf: [{type: object, required: [z], properties: {n: {$ref: '#/components/schemas/T'}}},"
             + " {type: object, properties: {n: {$ref: '#/components/schemas/T'}}},"
             + " {type: object, maxProperties: 0, properties: {n: {$ref: '#/components/schemas/T'}}}]}\n");
@@ -96,24 +103,26 @@
             assertEquals("ok", summary(validateJson(unique, "/a", objects + "]")));
             assertEquals("422  uniqueItems", summary(validateJson(unique, "/a", objects + ",{\"a\":7}]")));
             assertEquals("422  pattern", summary(validateJson(pattern, "/a", '"' + "a".repeat(60_000) + "b\"")));
-            ValidationResult costly = validateJson(tree, "/a", "{\"n\":".repeat(60) + "1" + "}".repeat(60));
+            ValidationResult costly = validateJson(recursive, "/a", "{\"n\":".repeat(60) + "1" + "}".repeat(60));
             assertEquals("limit", costly.faults().get(0).keyword());
         });
     }
 
     @Test void truncatesClientTextInFaults() throws DescriptionException {
         String name = "n".repeat(5_000);
-        ValidationResult verdict = validateJson(compileContracts(openApiWithPost("3.1.0", "/a", "[]", "{type: object, additionalProperties: {type: integer}, "
-            + "propertyNames: {maxLength: 3}}")), "/a", "{\"" + name + "\":\"" + "v".repeat(5_000) + "\"}");
-        String told = new String(ProblemDetails.encode(verdict, 1), StandardCharsets.UTF_8);
-        assertEquals(422, verdict.status());
-        assertFalse(told.contains("n".repeat(65)) || told.contains("vv"), told);
-        ContractSet strict = compileContracts(openApiWithPost("3.1.0", "/a", "[]", "{type: array, items: {type: integer}}"));
-        assertEquals(8, validateJson(strict, "/a", "[" + "\"x\",".repeat(1_000) + "1]").faults().size());
+        ContractSet lenient = compileContracts(openApiWithPost("3.1.0", "/a", "[]",
+            "{type: object, additionalProperties: {type: integer}, propertyNames: {maxLength: 3}}"));
+        ValidationResult result = validateJson(lenient, "/a", "{\"" + name + "\":\"" + "v".repeat(5_000) + "\"}");
+        String problem = new String(ProblemDetails.encode(result, 1), StandardCharsets.UTF_8);
+        assertEquals(422, result.status());
+        assertFalse(problem.contains("n".repeat(65)) || problem.contains("vv"), problem);
+        ContractSet integers = compileContracts(openApiWithPost("3.1.0", "/a", "[]", "{type: array, items: {type: integer}}"));
+        assertEquals(8, validateJson(integers, "/a", "[" + "\"x\",".repeat(1_000) + "1]").faults().size());
     }
 
     @Test void selectsSchemaByMediaType() throws DescriptionException {
-        ContractSet by = compileContracts(openApiWithPost("3.0.3", "/a", "[]", "{type: object}").replace("{application/json: {schema: {type: object}}}",
+        ContractSet contracts = compileContracts(openApiWithPost("3.0.3", "/a", "[]", "{type: object}").replace(
+            "{application/json: {schema: {type: object}}}",
             "{application/json: {schema: {type: object}}, 'text/*': {schema: {type: string, maxLength: 3}}, "
             + "application/octet-stream: {schema: {type: string, format: binary, maxLength: 2}}, "
             + "application/x-www-form-urlencoded: {schema: {type: object, required: [n], properties: {n: {type: integer}, "
@@ -127,12 +136,13 @@
             int last = row.lastIndexOf(';');
             int middle = row.lastIndexOf(';', last - 1);
             String type = row.substring(0, middle);
-            assertEquals(Integer.parseInt(row.substring(last + 1)), by.validate(postRequest("/a", type.equals("none") ? Map.of()
-                : Map.of("Content-Type", type), row.substring(middle + 1, last).getBytes(StandardCharsets.UTF_8))).result()
-                .status(), row);
+            Map<String, String> headers = type.equals("none") ? Map.of() : Map.of("Content-Type", type);
+            byte[] body = row.substring(middle + 1, last).getBytes(StandardCharsets.UTF_8);
+            assertEquals(Integer.parseInt(row.substring(last + 1)),
+                contracts.validate(postRequest("/a", headers, body)).result().status(), row);
         }
-        assertEquals("422  required", summary(validateWithoutBody(by, "/a")));
-        assertTrue(by.validate(postRequest("/a", Map.of("Content-Type", "application/xml"), new byte[1])).result().allowed()
-            .contains("application/json"));
+        assertEquals("422  required", summary(validateWithoutBody(contracts, "/a")));
+        assertTrue(contracts.validate(postRequest("/a", Map.of("Content-Type", "application/xml"), new byte[1])).result()
+            .allowed().contains("application/json"));
     }
 }
--- a/src/test/java/badgermux/contract/ContractFixtures.java
+++ b/src/test/java/badgermux/contract/ContractFixtures.java
@@ -1,12 +1,13 @@
 package badgermux.contract;
 
 import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
 import java.util.stream.Collectors;
 
-/** Short ways to descriptions and verdicts. */
+/** Compiles descriptions for tests and validates requests against them. */
 final class ContractFixtures {
     private ContractFixtures() { }
 
@@ -15,14 +16,14 @@
     }
 
     static ContractSet compileContracts(String... texts) throws DescriptionException {
-        List<ApiDescription> all = new java.util.ArrayList<>();
+        List<ApiDescription> descriptions = new ArrayList<>();
         for (String text : texts) {
-            all.add(compileDescription(text));
+            descriptions.add(compileDescription(text));
         }
-        return ContractSet.of(7, all, false);
+        return ContractSet.of(7, descriptions, false);
     }
 
-    /** The reasons why a text is no description, a line each. */
+    /** Returns the problems of a description, one on each line; empty if it can be used. */
     static String compileProblems(String text) {
         try {
             compileDescription(text);
@@ -34,26 +35,31 @@
 
     static HttpRequest postRequest(String target, Map<String, String> headers, byte[] body) {
         return new HttpRequest("POST", target, name -> headers.entrySet().stream()
-            .filter(h -> h.getKey().toLowerCase(Locale.ROOT).equals(name.toLowerCase(Locale.ROOT)))
+            .filter(header -> header.getKey().toLowerCase(Locale.ROOT).equals(name.toLowerCase(Locale.ROOT)))
             .map(Map.Entry::getValue).toList(), body);
     }
 
-    static ValidationResult validateJson(ContractSet by, String target, String body) {
-        return by.validate(postRequest(target, Map.of("Content-Type", "application/json"),
+    static ValidationResult validateJson(ContractSet contracts, String target, String body) {
+        return contracts.validate(postRequest(target, Map.of("Content-Type", "application/json"),
             body.getBytes(StandardCharsets.UTF_8))).result();
     }
 
-    static ValidationResult validateWithoutBody(ContractSet by, String target) {
-        return by.validate(postRequest(target, Map.of(), new byte[0])).result();
+    static ValidationResult validateWithoutBody(ContractSet contracts, String target) {
+        return contracts.validate(postRequest(target, Map.of(), new byte[0])).result();
     }
 
-    /** A verdict in short: its status, and the first fault's pointer and keyword. */
-    static String summary(ValidationResult verdict) {
-        return verdict.conforms() ? "ok" : verdict.status() + " " + verdict.faults().get(0).pointer() + ' '
-            + verdict.faults().get(0).keyword();
+    /** Returns "ok", or the status and the first fault's pointer and keyword. */
+    static String summary(ValidationResult result) {
+        return result.conforms() ? "ok" : result.status() + " " + result.faults().get(0).pointer() + ' '
+            + result.faults().get(0).keyword();
     }
 
-    /** A 3.0 or 3.1 description of one POST path with parameters (YAML flow) and a JSON body schema (null for none). */
+    /**
+     * Returns an OpenAPI description of one POST operation.
+     *
+     * @param parameters the parameters in YAML flow style
+     * @param schema     the schema of a JSON body in YAML flow style; null for no body
+     */
     static String openApiWithPost(String version, String path, String parameters, String schema) {
         return "openapi: " + version + "\ninfo: {title: t, version: '1'}\npaths:\n  " + path + ":\n    post:\n"
             + "      parameters: " + parameters + "\n" + (schema == null ? "" : "      requestBody:\n"
--- a/src/test/java/badgermux/contract/ContractProperties.java
+++ b/src/test/java/badgermux/contract/ContractProperties.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.math.BigDecimal;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -22,7 +23,7 @@
 import tools.jackson.databind.node.JsonNodeFactory;
 import tools.jackson.databind.node.ObjectNode;
 
-/** Properties of the pure parts, on values made by seed. */
+/** Properties of routing, parsing, message order and validation, checked with generated values and a fixed seed. */
 class ContractProperties {
     private static final String SEED = "20261201";
 
@@ -34,7 +35,7 @@
         return Arbitraries.of("a", "b", "c", "pa", "p", "z", "").list().ofMinSize(1).ofMaxSize(4);
     }
 
-    /** The tree finds a route exactly where trying all templates one by one does, and none is more concrete. */
+    /** The table finds a route if and only if one of the templates matches, and no matching template is more concrete. */
     @Property(seed = SEED, tries = 500)
     void lookupAgreesWithExhaustiveSearch(@ForAll("tables") List<List<String>> table, @ForAll("path") List<String> path)
             throws SyntaxException {
@@ -47,12 +48,13 @@
             }
         }
         RouteTable.Match<String> found = routes.find('/' + String.join("/", path));
-        List<String> fitting = templates.stream().filter(t -> matchesTemplate(t, path)).toList();
-        assertEquals(fitting.isEmpty(), found == null);
+        List<String> matching = templates.stream().filter(template -> matchesTemplate(template, path)).toList();
+        assertEquals(matching.isEmpty(), found == null);
         if (found != null) {
-            assertTrue(fitting.contains(found.route()));
+            assertTrue(matching.contains(found.route()));
             assertEquals(RouteTable.parameterNames(found.route()).size(), found.parameterValues().size());
-            fitting.forEach(other -> assertTrue(specificityRank(found.route()).compareTo(specificityRank(other)) <= 0, found + " before " + other));
+            matching.forEach(other -> assertTrue(
+                specificityRank(found.route()).compareTo(specificityRank(other)) <= 0, found + " before " + other));
         }
     }
 
@@ -62,14 +64,14 @@
 
     private static boolean matchesTemplate(String template, List<String> path) {
         String[] parts = template.substring(1).split("/");
-        boolean fits = parts.length == path.size();
-        for (int i = 0; fits && i < parts.length; i++) {
-            fits = path.get(i).matches(parts[i].replaceAll("\\{.}", ".+"));
+        boolean matches = parts.length == path.size();
+        for (int i = 0; matches && i < parts.length; i++) {
+            matches = path.get(i).matches(parts[i].replaceAll("\\{.}", ".+"));
         }
-        return fits;
+        return matches;
     }
 
-    /** Segment by segment: literals, then templates with literal parts, then plain parameters. */
+    /** Ranks each segment: 0 for a literal, 1 for a parameter with literal parts, 2 for a plain parameter. */
     private static String specificityRank(String template) {
         StringBuilder rank = new StringBuilder();
         for (String part : template.substring(1).split("/")) {
@@ -85,8 +87,9 @@
     private static Arbitrary<JsonNode> values(int depth) {
         JsonNodeFactory nodes = JsonNodeFactory.instance;
         Arbitrary<JsonNode> leaves = Arbitraries.oneOf(Arbitraries.integers().map(nodes::numberNode),
-            Arbitraries.bigDecimals().between(new java.math.BigDecimal("-1e30"), new java.math.BigDecimal("1e30")).map(nodes::numberNode), Arbitraries.strings().ofMaxLength(8).filter(ContractProperties::isValidUnicode)
-            .map(nodes::stringNode), Arbitraries.of(true, false).map(nodes::booleanNode), Arbitraries.just(nodes.nullNode()));
+            Arbitraries.bigDecimals().between(new BigDecimal("-1e30"), new BigDecimal("1e30")).map(nodes::numberNode),
+            Arbitraries.strings().ofMaxLength(8).filter(ContractProperties::isValidUnicode).map(nodes::stringNode),
+            Arbitraries.of(true, false).map(nodes::booleanNode), Arbitraries.just(nodes.nullNode()));
         if (depth == 0) {
             return leaves;
         }
@@ -101,6 +104,7 @@
         }));
     }
 
+    /** Whether the text has no unpaired surrogates. */
     private static boolean isValidUnicode(String text) {
         return new String(text.getBytes(StandardCharsets.UTF_8), StandardCharsets.UTF_8).equals(text);
     }
@@ -110,7 +114,7 @@
         assertEquals(value.toString(), Json.parseMessage(value.toString().getBytes(StandardCharsets.UTF_8)).toString());
     }
 
-    /** Any bytes: a value or a reason, never anything else. */
+    /** The parsers return a value or throw the documented exception, whatever the bytes. */
     @Property(seed = SEED, tries = 1_000)
     void arbitraryBytesParseOrFailCleanly(@ForAll @Size(max = 40) byte[] bytes) {
         try {
@@ -125,13 +129,13 @@
         }
     }
 
-    /** Judged line by line, a stream passes exactly where a path through the order's automaton exists. */
+    /** Line by line, a stream is accepted if and only if the order's automaton has a path for it. */
     @Property(seed = SEED, tries = 1_000)
     void orderMatchesItsAutomaton(@ForAll("orders") Map<String, Set<String>> follow, @ForAll("words") List<String> word)
             throws SyntaxException {
-        Set<String> names = Set.of("a", "b", "c");
+        Set<String> messageNames = Set.of("a", "b", "c");
         Map<String, MessageStream.Message> messages = new LinkedHashMap<>();
-        names.forEach(name -> messages.put(name, new MessageStream.Message(name, null, null, Set.of(), null)));
+        messageNames.forEach(name -> messages.put(name, new MessageStream.Message(name, null, null, Set.of(), null)));
         MessageOrder order = new MessageOrder(Set.of("a"), follow, Set.of("c"));
         Set<String> states = null;
         boolean passes = true;
@@ -145,14 +149,15 @@
             expected &= i == 0 ? word.get(0).equals("a") : follow.getOrDefault(word.get(i - 1), Set.of()).contains(word.get(i));
         }
         assertEquals(expected, passes);
-        // Messages that any value conforms to: the reader follows all of them at once, and passes where one way exists.
-        MessageStream.Validator stream = new MessageStream("d", "/a", messages, order).newValidator(name -> List.of(), SchemaCompiler.Direction.EVENT);
-        boolean some = true;
-        Set<String> open = null;
-        for (int i = 0; i < word.size() && some; i++) {
-            open = order.allowedAfter(open);
-            some = !open.isEmpty();
-            assertEquals(some, stream.validateLine("1".getBytes(StandardCharsets.UTF_8), 1_000).isEmpty());
+        // Any value conforms to these messages, so the validator follows all of them and accepts a line if one is allowed.
+        MessageStream.Validator validator = new MessageStream("d", "/a", messages, order)
+            .newValidator(name -> List.of(), SchemaCompiler.Direction.EVENT);
+        boolean isOpen = true;
+        Set<String> openStates = null;
+        for (int i = 0; i < word.size() && isOpen; i++) {
+            openStates = order.allowedAfter(openStates);
+            isOpen = !openStates.isEmpty();
+            assertEquals(isOpen, validator.validateLine("1".getBytes(StandardCharsets.UTF_8), 1_000).isEmpty());
         }
     }
 
@@ -164,10 +169,11 @@
         return Arbitraries.of("a", "b", "c").list().ofMaxSize(6);
     }
 
-    /** What a schema of types and bounds takes is decided the same way by the judge and by its words. */
+    /** An integer conforms if and only if it is not below the schema's minimum. */
     @Property(seed = SEED, tries = 40)
-    void enforcesMinimum(@ForAll int low, @ForAll int value) throws DescriptionException {
-        ContractSet by = ContractFixtures.compileContracts(ContractFixtures.openApiWithPost("3.1.0", "/a", "[]", "{type: integer, minimum: " + low + "}"));
-        assertEquals(value >= low, ContractFixtures.validateJson(by, "/a", String.valueOf(value)).conforms());
+    void enforcesMinimum(@ForAll int minimum, @ForAll int value) throws DescriptionException {
+        ContractSet contracts = ContractFixtures.compileContracts(
+            ContractFixtures.openApiWithPost("3.1.0", "/a", "[]", "{type: integer, minimum: " + minimum + "}"));
+        assertEquals(value >= minimum, ContractFixtures.validateJson(contracts, "/a", String.valueOf(value)).conforms());
     }
 }
--- a/src/test/java/badgermux/contract/DescriptionCompilationTest.java
+++ b/src/test/java/badgermux/contract/DescriptionCompilationTest.java
@@ -1,12 +1,12 @@
 package badgermux.contract;
 
-import static badgermux.contract.ContractFixtures.validateWithoutBody;
-import static badgermux.contract.ContractFixtures.summary;
 import static badgermux.contract.ContractFixtures.compileContracts;
 import static badgermux.contract.ContractFixtures.compileDescription;
-import static badgermux.contract.ContractFixtures.validateJson;
-import static badgermux.contract.ContractFixtures.openApiWithPost;
 import static badgermux.contract.ContractFixtures.compileProblems;
+import static badgermux.contract.ContractFixtures.openApiWithPost;
+import static badgermux.contract.ContractFixtures.summary;
+import static badgermux.contract.ContractFixtures.validateJson;
+import static badgermux.contract.ContractFixtures.validateWithoutBody;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -19,10 +19,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Descriptions as documents: references, routes, what can't be used and where, and what a new revision breaks. */
+/** Compilation of descriptions: references, routes, problems with their location, and breaking changes. */
 class DescriptionCompilationTest {
     private static final String OK_RESPONSES = "{'200': {description: ok}}";
 
+    /** Returns an OpenAPI description of operations, each given as a method and a path template. */
     private static String openApiWithPaths(String... rows) {
         StringBuilder text = new StringBuilder("openapi: 3.0.3\ninfo: {title: t, version: '1'}\npaths:\n");
         for (String row : rows) {
@@ -38,20 +39,21 @@
 
     @ParameterizedTest
     @CsvSource({"/a/mine,405", "/a/x,0", "/a/x/y,0", "/a/,404", "/a,404", "/a/x.json,0", "/a/.json,0", "/b,404", "/a/x/,404",
-        "/a//y,404", "//a/x,404", "/a/%6Dine,405", "/a/x%2Fy,0", "/a/x%2Fy/y,0", "/a/%2E/y,400", "/c/d/e,0", "/c/d/f,0", "/c/x/f,0"})
+        "/a//y,404", "//a/x,404", "/a/%6Dine,405", "/a/x%2Fy,0", "/a/x%2Fy/y,0", "/a/%2E/y,400", "/c/d/e,0", "/c/d/f,0",
+        "/c/x/f,0"})
     void mostConcretePathWins(String path, int status) throws DescriptionException {
-        ContractSet by = compileContracts(openApiWithPaths("get /a/mine", "post /a/{id}", "post /a/{id}.json", "post /a/{id}/y",
-            "post /c/d/e", "post /c/{x}/f"));
-        assertEquals(status, validateWithoutBody(by, path).status());
+        ContractSet contracts = compileContracts(openApiWithPaths("get /a/mine", "post /a/{id}", "post /a/{id}.json",
+            "post /a/{id}/y", "post /c/d/e", "post /c/{x}/f"));
+        assertEquals(status, validateWithoutBody(contracts, path).status());
     }
 
     @Test void expandsServerVariablesIntoBasePaths() throws DescriptionException {
-        ContractSet by = compileContracts(openApiWithPaths("post /a") + "servers: [{url: 'https://h.example/{v}/api/', variables: {v: {default: v1, "
-            + "enum: [v1, v2]}}}, {url: /old}]\n");
+        ContractSet contracts = compileContracts(openApiWithPaths("post /a")
+            + "servers: [{url: 'https://h.example/{v}/api/', variables: {v: {default: v1, enum: [v1, v2]}}}, {url: /old}]\n");
         for (String path : List.of("/v1/api/a", "/v2/api/a", "/old/a")) {
-            assertEquals("ok", summary(validateWithoutBody(by, path)), path);
+            assertEquals("ok", summary(validateWithoutBody(contracts, path)), path);
         }
-        assertEquals(404, validateWithoutBody(by, "/a").status());
+        assertEquals(404, validateWithoutBody(contracts, "/a").status());
     }
 
     @ParameterizedTest
@@ -66,63 +68,69 @@
         "openapi: 3.0.1\\npaths:\\n  /a: {$ref: '#/x'}\\nx: {$ref: '#/y'}\\ny: {$ref: '#/x'}|$ref leads back to itself",
         "openapi: 3.0.1\\npaths: {/a: {$ref: 'other.yaml#/a'}}|a document that was not given"})
     void reportsProblemsWithLocation(String text, String reason) {
-        assertTrue(compileProblems(text.replace("\\n", "\n")).contains(reason), compileProblems(text.replace("\\n", "\n")));
+        String problems = compileProblems(text.replace("\\n", "\n"));
+        assertTrue(problems.contains(reason), problems);
     }
 
     @Test void rejectsPatternsWithoutLinearTime() throws DescriptionException {
-        assertTrue(compileProblems(openApiWithPost("3.0.3", "/a", "[]", "{type: string, pattern: '(?=a)b'}")).matches(
-            "(?s)d.yaml:9: pattern can't be run in linear time.*"), compileProblems(openApiWithPost("3.0.3", "/a", "[]", "{type: string, pattern: '(?=a)b'}")));
-        assertTrue(compileProblems(openApiWithPost("3.0.3", "/a", "[]", "{type: string, pattern: '(a)\\1'}")).contains("linear time"));
-        ContractSet by = compileContracts(openApiWithPost("3.0.3", "/a", "[]", "{type: string, pattern: '^\\u00e1\\d$'}"));
-        assertEquals("ok", summary(validateJson(by, "/a", "\"\u00e11\"")));
+        String lookahead = compileProblems(openApiWithPost("3.0.3", "/a", "[]", "{type: string, pattern: '(?=a)b'}"));
+        assertTrue(lookahead.matches("(?s)d.yaml:9: pattern can't be run in linear time.*"), lookahead);
+        String backreference = compileProblems(openApiWithPost("3.0.3", "/a", "[]", "{type: string, pattern: '(a)\\1'}"));
+        assertTrue(backreference.contains("linear time"), backreference);
+        ContractSet contracts = compileContracts(openApiWithPost("3.0.3", "/a", "[]", "{type: string, pattern: '^\\u00e1\\d$'}"));
+        assertEquals("ok", summary(validateJson(contracts, "/a", "\"\u00e11\"")));
     }
 
     @Test void reportsAllProblemsAtOnce() {
-        assertEquals(3, compileProblems("openapi: 3.0.3\npaths:\n  /a: {post: {parameters: [{in: query}], requestBody: {}}}\n  b: {}\n")
-            .lines().count());
+        assertEquals(3, compileProblems(
+            "openapi: 3.0.3\npaths:\n  /a: {post: {parameters: [{in: query}], requestBody: {}}}\n  b: {}\n").lines().count());
     }
 
     @Test void resolvesReferencesAcrossDocumentsAndRecursion() throws DescriptionException {
-        Document main = Document.read("in/main.yaml", openApiWithPost("3.1.0", "/a", "[]", "{$ref: '../common/types.json#/Node'}")
-            .getBytes(StandardCharsets.UTF_8));
+        Document main = Document.read("in/main.yaml",
+            openApiWithPost("3.1.0", "/a", "[]", "{$ref: '../common/types.json#/Node'}").getBytes(StandardCharsets.UTF_8));
         Document types = Document.read("common/types.json", ("{\"Node\":{\"type\":\"object\",\"required\":[\"v\"],"
-            + "\"properties\":{\"v\":{\"$ref\":\"more.yaml\"},\"next\":{\"$ref\":\"#/Node\"}}}}").getBytes(StandardCharsets.UTF_8));
+            + "\"properties\":{\"v\":{\"$ref\":\"more.yaml\"},\"next\":{\"$ref\":\"#/Node\"}}}}")
+            .getBytes(StandardCharsets.UTF_8));
         Document more = Document.read("common/more.yaml", "type: integer".getBytes(StandardCharsets.UTF_8));
-        ContractSet by = ContractSet.of(1, List.of(ApiDescription.compile("d", main, List.of(types, more))), false);
-        assertEquals("ok", summary(validateJson(by, "/a", "{\"v\":1,\"next\":{\"v\":2}}")));
-        assertEquals("422 /next/v type", summary(validateJson(by, "/a", "{\"v\":1,\"next\":{\"v\":\"x\"}}")));
+        ContractSet contracts = ContractSet.of(1, List.of(ApiDescription.compile("d", main, List.of(types, more))), false);
+        assertEquals("ok", summary(validateJson(contracts, "/a", "{\"v\":1,\"next\":{\"v\":2}}")));
+        assertEquals("422 /next/v type", summary(validateJson(contracts, "/a", "{\"v\":1,\"next\":{\"v\":\"x\"}}")));
         DescriptionException e = assertThrows(DescriptionException.class, () -> ApiDescription.compile("d", main,
             List.of(types, Document.read("common/more.yaml", "$ref: 'x.yaml'".getBytes(StandardCharsets.UTF_8)))));
         assertEquals("common/more.yaml", e.problems().get(0).document());
     }
 
+    /** Aliases of aliases would expand to 2^40 values (the "billion laughs" attack), an alias to itself without end. */
     @Test void rejectsExplodingYamlAliases() {
-        StringBuilder laughs = new StringBuilder("a0: &a0 [x, x]\n");
+        StringBuilder aliases = new StringBuilder("a0: &a0 [x, x]\n");
         for (int i = 1; i < 40; i++) {
-            laughs.append("a").append(i).append(": &a").append(i).append(" [*a").append(i - 1).append(", *a").append(i - 1)
+            aliases.append("a").append(i).append(": &a").append(i).append(" [*a").append(i - 1).append(", *a").append(i - 1)
                 .append("]\n");
         }
-        assertTrue(compileProblems(laughs.toString()).contains("too many values"));
+        assertTrue(compileProblems(aliases.toString()).contains("too many values"));
         assertTrue(compileProblems("a: &a [*a]").contains("nested too deep"));
         assertTrue(compileProblems("[".repeat(100_000)).length() > 0);
     }
 
     @Test void rejectsDuplicateRoutes() {
-        assertThrows(DescriptionException.class, () -> compileContracts(openApiWithPaths("post /a/{x}"), openApiWithPaths("post /a/{y}")));
+        assertThrows(DescriptionException.class,
+            () -> compileContracts(openApiWithPaths("post /a/{x}"), openApiWithPaths("post /a/{y}")));
         assertThrows(DescriptionException.class, () -> compileContracts(openApiWithPaths("post /a/{x}", "post /a/{y}")));
     }
 
     @Test void passesUndescribedPathsIfConfigured() throws DescriptionException {
-        ContractSet by = ContractSet.of(1, List.of(compileDescription(openApiWithPaths("post /a"))), true);
-        assertEquals("ok", summary(validateWithoutBody(by, "/b")));
-        assertEquals(405, by.validate(new HttpRequest("PUT", "/a", n -> List.of(), new byte[0])).result().status());
+        ContractSet contracts = ContractSet.of(1, List.of(compileDescription(openApiWithPaths("post /a"))), true);
+        assertEquals("ok", summary(validateWithoutBody(contracts, "/b")));
+        assertEquals(405, contracts.validate(new HttpRequest("PUT", "/a", name -> List.of(), new byte[0])).result().status());
     }
 
     @ParameterizedTest
     @CsvSource(delimiter = '|', value = {
         "{type: object}|{type: object}|", "{type: object}|{type: object, required: [a]}|a is now required",
         "{type: integer}|{type: number}|", "{type: number}|{type: integer}|no longer takes number",
-        "{type: integer, maximum: 5}|{type: integer, maximum: 6}|", "{type: integer, maximum: 5}|{type: integer, maximum: 4}|maximum is now 4",
+        "{type: integer, maximum: 5}|{type: integer, maximum: 6}|",
+        "{type: integer, maximum: 5}|{type: integer, maximum: 4}|maximum is now 4",
         "{type: string}|{type: string, enum: [a]}|only listed values", "{enum: [a, b]}|{enum: [a, b, c]}|",
         "{enum: [a, b]}|{enum: [a]}|no longer takes \"b\"", "{type: string}|{type: string, pattern: a}|pattern was added",
         "{type: object}|{type: object, additionalProperties: false}|members that are not described",
@@ -130,21 +138,24 @@
         "{type: array, items: {maxLength: 5}}|{type: array, items: {maxLength: 3}}|maxLength is now 3",
         "{anyOf: [{type: string}, {type: integer}]}|{anyOf: [{type: string}]}|anyOf has become narrower",
         "{type: string, nullable: true}|{type: string}|no longer takes null"})
-    void reportsBreakingChanges(String old, String now, String change) throws DescriptionException {
-        List<DescriptionDiff.BreakingChange> changes = DescriptionDiff.breakingChanges(compileDescription(openApiWithPost("3.0.3", "/a/{p}", "[{name: p, in: path, required: true, schema: {}}]", old)),
-            compileDescription(openApiWithPost("3.0.3", "/a/{q}", "[{name: q, in: path, required: true, schema: {}}]", now)));
+    void reportsBreakingChanges(String oldSchema, String newSchema, String change) throws DescriptionException {
+        ApiDescription before = compileDescription(openApiWithPost("3.0.3", "/a/{p}",
+            "[{name: p, in: path, required: true, schema: {}}]", oldSchema));
+        ApiDescription after = compileDescription(openApiWithPost("3.0.3", "/a/{q}",
+            "[{name: q, in: path, required: true, schema: {}}]", newSchema));
+        List<DescriptionDiff.BreakingChange> changes = DescriptionDiff.breakingChanges(before, after);
         assertEquals(change == null ? 0 : 1, changes.size(), changes.toString());
         assertTrue(change == null || changes.get(0).toString().contains(change), changes.toString());
     }
 
     @Test void compilesExampleDescriptions() throws Exception {
-        ApiDescription open = ApiDescription.compile("press", Document.read("press.openapi.yaml",
+        ApiDescription openApi = ApiDescription.compile("press", Document.read("press.openapi.yaml",
             Files.readAllBytes(Path.of("deploy/press.openapi.yaml"))), List.of());
-        ApiDescription async = ApiDescription.compile("lines", Document.read("press.asyncapi.yaml",
+        ApiDescription asyncApi = ApiDescription.compile("lines", Document.read("press.asyncapi.yaml",
             Files.readAllBytes(Path.of("deploy/press.asyncapi.yaml"))), List.of());
-        ContractSet by = ContractSet.of(1, List.of(open, async), false);
-        assertEquals("ok", summary(validateJson(by, "/preview/nhan-dan?width=640", "{\"story\":\"123456\"}")));
-        assertEquals("422 /story pattern", summary(validateJson(by, "/preview/nhan-dan", "{\"story\":\"1\"}")));
-        assertEquals(List.of(), open.warnings());
+        ContractSet contracts = ContractSet.of(1, List.of(openApi, asyncApi), false);
+        assertEquals("ok", summary(validateJson(contracts, "/preview/nhan-dan?width=640", "{\"story\":\"123456\"}")));
+        assertEquals("422 /story pattern", summary(validateJson(contracts, "/preview/nhan-dan", "{\"story\":\"1\"}")));
+        assertEquals(List.of(), openApi.warnings());
     }
 }
--- a/src/test/java/badgermux/contract/MessageStreamTest.java
+++ b/src/test/java/badgermux/contract/MessageStreamTest.java
@@ -1,9 +1,9 @@
 package badgermux.contract;
 
-import static badgermux.contract.ContractFixtures.summary;
 import static badgermux.contract.ContractFixtures.compileContracts;
 import static badgermux.contract.ContractFixtures.compileProblems;
 import static badgermux.contract.ContractFixtures.postRequest;
+import static badgermux.contract.ContractFixtures.summary;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,12 +11,12 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.Map;
+import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.junit.jupiter.api.Test;
 
-/** Streams of messages and their order, in both versions of AsyncAPI. */
+/** Validation of message streams and their order, in both versions of AsyncAPI. */
 class MessageStreamTest {
     private static final String MESSAGES = """
         components:
@@ -43,34 +43,41 @@
             publish: {message: {oneOf: [{$ref: '#/components/messages/a'}, {$ref: '#/components/messages/b'}, {$ref: '#/components/messages/c'}]}, ORDER}
         """.replace("ORDER", ORDER) + MESSAGES;
 
-    private static String jsonLines(String letters) {
+    /** Returns a line for each word: "a1" is message a with correlation id 1, a single character stands for itself. */
+    private static String jsonLines(String messages) {
         StringBuilder body = new StringBuilder();
-        for (String word : letters.split(" ")) {
+        for (String word : messages.split(" ")) {
             body.append(word.length() < 2 ? word : "{\"id\":\"" + word.charAt(1) + "\",\"m\":\"" + word.charAt(0) + "\"}")
                 .append('\n');
         }
         return body.toString();
     }
 
+    private static byte[] jsonLine(String message) {
+        return jsonLines(message).strip().getBytes(StandardCharsets.UTF_8);
+    }
+
     @ParameterizedTest
     @CsvSource({"a1 b1 c1,ok", "a1 c1,ok", "b1 c1,422 /0 x-order", "a1 a1,422 /1 x-order", "a1 c1 c1,422 /2 x-order",
         "a1 b1,422 /1 x-order", "a1 a2 b2 c1 c2,ok", "a1 a2 c1 b1 c2,422 /3 x-order", "a1 d1,422 /1 message", "x,400  syntax",
         "a1 b1 b1 b1 c1 a2 c2,ok"})
-    void enforcesOrderPerCorrelationId(String letters, String expected) throws DescriptionException {
+    void enforcesOrderPerCorrelationId(String messages, String expected) throws DescriptionException {
         for (String description : List.of(ASYNCAPI_3, ASYNCAPI_2)) {
             assertEquals(expected, summary(compileContracts(description).validate(postRequest("/s/1",
-                Map.of("Content-Type", "application/x-ndjson"), jsonLines(letters).getBytes(StandardCharsets.UTF_8))).result()));
+                Map.of("Content-Type", "application/x-ndjson"),
+                jsonLines(messages).getBytes(StandardCharsets.UTF_8))).result()));
         }
     }
 
     @Test void validatesResponsesLineByLine() throws DescriptionException {
-        ContractSet.RequestValidation judged = compileContracts(ASYNCAPI_3).validate(postRequest("/s/1", Map.of(), new byte[0]));
-        ContractSet.LineValidator lines = judged.responseValidator().lineValidator(name -> List.of());
-        assertNull(lines.validate(jsonLines("a1").strip().getBytes(StandardCharsets.UTF_8)));
-        assertNull(lines.validate(jsonLines("b1").strip().getBytes(StandardCharsets.UTF_8)));
-        assertEquals("x-order", lines.validate(jsonLines("a1").strip().getBytes(StandardCharsets.UTF_8)).keyword());
-        ContractSet.LineValidator others = judged.responseValidator().lineValidator(name -> List.of());
-        assertEquals("x-order", others.validate(jsonLines("c1").strip().getBytes(StandardCharsets.UTF_8)).keyword());
+        ContractSet.RequestValidation validation = compileContracts(ASYNCAPI_3)
+            .validate(postRequest("/s/1", Map.of(), new byte[0]));
+        ContractSet.LineValidator firstResponse = validation.responseValidator().lineValidator(name -> List.of());
+        assertNull(firstResponse.validate(jsonLine("a1")));
+        assertNull(firstResponse.validate(jsonLine("b1")));
+        assertEquals("x-order", firstResponse.validate(jsonLine("a1")).keyword());
+        ContractSet.LineValidator secondResponse = validation.responseValidator().lineValidator(name -> List.of());
+        assertEquals("x-order", secondResponse.validate(jsonLine("c1")).keyword());
     }
 
     @ParameterizedTest
@@ -81,11 +88,12 @@
     }
 
     @Test void validatesMessageHeaders() throws DescriptionException {
-        ContractSet by = compileContracts(ASYNCAPI_3.replace("a: {correlationId", "a: {headers: {type: object, required: [X-Desk], properties: "
-            + "{X-Desk: {enum: [sport]}}}, correlationId"));
+        ContractSet contracts = compileContracts(ASYNCAPI_3.replace("a: {correlationId",
+            "a: {headers: {type: object, required: [X-Desk], properties: {X-Desk: {enum: [sport]}}}, correlationId"));
         Map<String, String> headers = Map.of("Content-Type", "application/x-ndjson", "x-desk", "sport");
-        assertTrue(by.validate(postRequest("/s/1", headers, jsonLines("a1 c1").getBytes(StandardCharsets.UTF_8))).result().conforms());
-        assertEquals(422, by.validate(postRequest("/s/1", Map.of("Content-Type", "application/x-ndjson"),
-            jsonLines("a1 c1").getBytes(StandardCharsets.UTF_8))).result().status());
+        byte[] body = jsonLines("a1 c1").getBytes(StandardCharsets.UTF_8);
+        assertTrue(contracts.validate(postRequest("/s/1", headers, body)).result().conforms());
+        assertEquals(422, contracts.validate(postRequest("/s/1", Map.of("Content-Type", "application/x-ndjson"), body))
+            .result().status());
     }
 }
--- a/src/test/java/badgermux/contract/ParameterValidationTest.java
+++ b/src/test/java/badgermux/contract/ParameterValidationTest.java
@@ -1,20 +1,21 @@
 package badgermux.contract;
 
-import static badgermux.contract.ContractFixtures.validateWithoutBody;
-import static badgermux.contract.ContractFixtures.summary;
 import static badgermux.contract.ContractFixtures.compileContracts;
 import static badgermux.contract.ContractFixtures.openApiWithPost;
 import static badgermux.contract.ContractFixtures.postRequest;
+import static badgermux.contract.ContractFixtures.summary;
+import static badgermux.contract.ContractFixtures.validateWithoutBody;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.Map;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Parameters in each place and style of OpenAPI's table of styles. */
+/** Validation of parameters in each location and style of OpenAPI. */
 class ParameterValidationTest {
     private static final String ARRAY = "schema: {type: array, items: {type: integer}, minItems: 2}";
-    private static final String OBJECT = "schema: {type: object, required: [r], properties: {r: {type: integer}, g: {type: string}}}";
+    private static final String OBJECT =
+        "schema: {type: object, required: [r], properties: {r: {type: integer}, g: {type: string}}}";
 
     @ParameterizedTest
     @CsvSource(delimiter = '|', value = {
@@ -31,11 +32,12 @@
         "label|false|ARRAY|.1,2|ok", "label|true|ARRAY|.1.2|ok", "label|true|ARRAY|1.2|422 /p style",
         "matrix|false|ARRAY|;p=1,2|ok", "matrix|true|ARRAY|;p=1;p=2|ok", "matrix|true|ARRAY|;q=1;p=2|422 /p style",
         "matrix|false|{type: integer}|;p=7|ok", "matrix|true|OBJECT|;r=1;g=a|ok", "matrix|false|OBJECT|;p=r,1|ok"})
-    void validatesPathParameters(String style, boolean explode, String schema, String value, String expected) throws DescriptionException {
-        String of = schema.equals("ARRAY") ? ARRAY : schema.equals("OBJECT") ? OBJECT : "schema: " + schema;
-        ContractSet by = compileContracts(openApiWithPost("3.0.3", "/a/{p}", "[{name: p, in: path, required: true, style: " + style
-            + ", explode: " + explode + ", " + of + "}]", null));
-        assertEquals(expected, summary(validateWithoutBody(by, "/a/" + (value == null ? "" : value))).stripTrailing());
+    void validatesPathParameters(String style, boolean explode, String schema, String value, String expected)
+            throws DescriptionException {
+        String schemaMember = schema.equals("ARRAY") ? ARRAY : schema.equals("OBJECT") ? OBJECT : "schema: " + schema;
+        ContractSet contracts = compileContracts(openApiWithPost("3.0.3", "/a/{p}",
+            "[{name: p, in: path, required: true, style: " + style + ", explode: " + explode + ", " + schemaMember + "}]", null));
+        assertEquals(expected, summary(validateWithoutBody(contracts, "/a/" + (value == null ? "" : value))).stripTrailing());
     }
 
     @ParameterizedTest
@@ -53,15 +55,17 @@
         "deepObject|true|OBJECT|p[r]=1&p[r]=2|422 /p repeated", "form|true|{type: integer}|p=%|400  syntax"})
     void validatesQueryParameters(String style, boolean explode, String schema, String query, String expected)
             throws DescriptionException {
-        String of = schema.equals("ARRAY") ? ARRAY : schema.equals("OBJECT") ? OBJECT : "schema: " + schema;
-        ContractSet by = compileContracts(openApiWithPost("3.1.0", "/a", "[{name: p, in: query, required: true, style: " + style + ", explode: "
-            + explode + ", " + of + "}]", null));
-        assertEquals(expected, summary(validateWithoutBody(by, "/a?" + query)));
+        String schemaMember = schema.equals("ARRAY") ? ARRAY : schema.equals("OBJECT") ? OBJECT : "schema: " + schema;
+        ContractSet contracts = compileContracts(openApiWithPost("3.1.0", "/a",
+            "[{name: p, in: query, required: true, style: " + style + ", explode: " + explode + ", " + schemaMember + "}]",
+            null));
+        assertEquals(expected, summary(validateWithoutBody(contracts, "/a?" + query)));
     }
 
     @ParameterizedTest
     @CsvSource(delimiter = '|', value = {
-        "header|{name: X-P, schema: {type: integer}}|x-p: 5|ok", "header|{name: X-P, schema: {type: integer}}|x-p: a|422 /X-P type",
+        "header|{name: X-P, schema: {type: integer}}|x-p: 5|ok",
+        "header|{name: X-P, schema: {type: integer}}|x-p: a|422 /X-P type",
         "header|{name: X-P, schema: {type: array, items: {type: integer}}}|X-P: 1, 2|ok",
         "header|{name: X-P, required: true, schema: {type: string}}|Y: 1|422 /X-P required",
         "header|{name: Content-Type, required: true, schema: {enum: [no]}}|Y: 1|ok",
@@ -72,8 +76,10 @@
         "cookie|{name: s, required: true, schema: {type: integer}}|Cookie: s=5; s=6|422 /s repeated",
         "cookie|{name: s, required: true, schema: {type: integer}}|Cookie: ss=5|422 /s required"})
     void validatesHeadersAndCookies(String in, String parameter, String line, String expected) throws DescriptionException {
-        ContractSet by = compileContracts(openApiWithPost("3.0.3", "/a", "[" + parameter.replaceFirst("\\{", "{in: " + in + ", ") + "]", null));
+        ContractSet contracts = compileContracts(openApiWithPost("3.0.3", "/a",
+            "[" + parameter.replaceFirst("\\{", "{in: " + in + ", ") + "]", null));
         String[] header = line.split(": ", 2);
-        assertEquals(expected, summary(by.validate(postRequest("/a", Map.of(header[0], header[1]), new byte[0])).result()));
+        assertEquals(expected,
+            summary(contracts.validate(postRequest("/a", Map.of(header[0], header[1]), new byte[0])).result()));
     }
 }
