--- a/src/main/java/badgermux/decide/ColdSendLedger.java
+++ b/src/main/java/badgermux/decide/ColdSendLedger.java
@@ -7,57 +7,72 @@
 import java.util.Map;
 
 /**
- * What one dispatcher sent to each worker lately, and how much of what it might have sent to cold ones it did. Sends to all
- * workers are held, listed or not: that a worker has started anew is told late, and an inherited send may be to one that is
- * listed later. Times are microseconds on the caller's clock, work is microseconds of a slot. Used by one thread.
+ * Records what one dispatcher has lately sent to each backend, and which share of the work that it was
+ * allowed to send to cold backends it has sent.
+ *
+ * <p>Sends to all backends are kept, also to warm and unlisted ones: the restart of a backend becomes known
+ * late, and a send taken over from the previous process may be to a backend that is listed only later. Times
+ * are microseconds on the caller's clock; work is in slot-microseconds. Used by one thread.
  */
 final class ColdSendLedger {
-    private final Map<Long, List<SentWork>> sends = new HashMap<>();
+    private final Map<Long, List<SentWork>> sendsByBackend = new HashMap<>();
+    /** Work that might have been sent to cold backends; old amounts decay. */
     private double allowedSlotMicros;
-    private double used;
+    /** Work that was sent to cold backends; old amounts decay likewise. */
+    private double usedSlotMicros;
 
     /**
      * Adds a send.
      *
-     * @param push the send; one whose work is not known has work 0
-     * @param cold whether the worker is known to be cold, so that it counts as use of what was allowed
+     * @param send its work is 0 if it is not known
+     * @param cold whether the backend is known to be cold, so that the send counts as use of the allowance
      */
-    void record(SentWork push, boolean cold) {
-        sends.computeIfAbsent(push.backendId(), id -> new ArrayList<>(1)).add(push);
-        used += cold ? push.slotMicros() : 0;
+    void record(SentWork send, boolean cold) {
+        sendsByBackend.computeIfAbsent(send.backendId(), id -> new ArrayList<>(1)).add(send);
+        usedSlotMicros += cold ? send.slotMicros() : 0;
     }
 
-    /** The part, 1 at most, that was used lately of what was allowed; {@code job} is the work of one job. */
-    double used(double job) {
-        return Math.min(1, (used + job) / (allowedSlotMicros + job));
+    /**
+     * Returns the share of the allowance that was used lately, 1 at most.
+     *
+     * @param meanWork the work of a mean request, added to both so that a small allowance gives no extreme
+     *                 share
+     */
+    double usedShare(double meanWork) {
+        return Math.min(1, (usedSlotMicros + meanWork) / (allowedSlotMicros + meanWork));
     }
 
-    /** The work sent to a worker later than {@code after}; a send of unknown work counts as {@code unknown}. */
-    double slotMicrosSince(long worker, long after, double unknown) {
+    /**
+     * Returns the work sent to a backend later than {@code after}.
+     *
+     * @param unknownWork what a send counts whose work is not known
+     */
+    double slotMicrosSince(long backendId, long after, double unknownWork) {
         double sum = 0;
-        for (SentWork push : sends.getOrDefault(worker, List.of())) {
-            double work = push.slotMicros() > 0 ? push.slotMicros() : unknown;
-            sum += push.sentAtMicros() > after ? work : 0;
+        for (SentWork send : sendsByBackend.getOrDefault(backendId, List.of())) {
+            double work = send.slotMicros() > 0 ? send.slotMicros() : unknownWork;
+            sum += send.sentAtMicros() > after ? work : 0;
         }
         return sum;
     }
 
-    /** All sends later than {@code after}, in no particular order. */
+    /** Returns all sends later than {@code after}, in no particular order. */
     List<SentWork> sendsSince(long after) {
-        return sends.values().stream().flatMap(List::stream).filter(push -> push.sentAtMicros() > after).toList();
+        return sendsByBackend.values().stream().flatMap(List::stream)
+            .filter(send -> send.sentAtMicros() > after).toList();
     }
 
     /**
-     * Goes on to the next round.
+     * Drops old sends, adds to the allowance and lets it and its use decay.
      *
-     * @param until sends up to and including this time are dropped
-     * @param more  what might have been sent to cold workers since the round before
-     * @param fades the part of what was allowed and used before that is left out from now on
+     * @param until       sends up to and including this time are dropped
+     * @param moreAllowed work that might have been sent to cold backends since the previous call
+     * @param decay       share of the previous allowance and use that no longer counts
      */
-    void expire(long until, double more, double fades) {
-        sends.values().forEach(of -> of.removeIf(push -> push.sentAtMicros() <= until));
-        sends.values().removeIf(List::isEmpty);
-        allowedSlotMicros = (allowedSlotMicros + more) * (1 - fades);
-        used -= used * fades;
+    void expire(long until, double moreAllowed, double decay) {
+        sendsByBackend.values().forEach(sends -> sends.removeIf(send -> send.sentAtMicros() <= until));
+        sendsByBackend.values().removeIf(List::isEmpty);
+        allowedSlotMicros = (allowedSlotMicros + moreAllowed) * (1 - decay);
+        usedSlotMicros -= usedSlotMicros * decay;
     }
 }
--- a/src/main/java/badgermux/decide/WatchTiming.java
+++ b/src/main/java/badgermux/decide/WatchTiming.java
@@ -1,58 +1,62 @@
 package badgermux.decide;
 
 /**
- * The times of calls to discovery, in microseconds, and why they are so long: a change has to arrive within
- * {@link #MAX_PROPAGATION_MICROS} of the moment from which discovery has it and can be reached.
+ * Time limits of calls to discovery. A change of the backend list has to arrive within
+ * {@link #MAX_PROPAGATION_MICROS} after discovery has it and can be reached.
  *
- * <p>In the worst case discovery becomes reachable just after a call has gone where nobody reads it. Then pass, with
- * {@code pause} for {@link #MAX_RETRY_PAUSE_MICROS} with the most jitter, 1.125 s, and {@code first} for the first pause after a
- * list, 0.75 s, up to the beginning of the call that is answered, where one more call is refused on the way:
+ * <p>In the worst case discovery becomes reachable just after a call has been sent that it will never answer,
+ * and refuses one more call on the way. The sums below are the time until the call that is answered begins.
+ * In them, {@code pause} is {@link #MAX_RETRY_PAUSE_MICROS} with the most jitter, 1.125 s, and {@code first}
+ * is the first pause after a list, 0.75 s:
  * <ul>
- * <li>a watch that was well before: {@link #WATCH_TIMEOUT_MICROS} + refused + first = 4.75 s (it is made anew with no pause);
- * <li>a call after a failure, silent, half answered or trickling: {@link #RECOVERY_TIMEOUT_MICROS} + pause + refused + pause
- *     = 5.25 s;
- * <li>a connection that does not come up: {@link #CONNECT_TIMEOUT_MICROS} + pause + refused + pause = 3.25 s;
- * <li>a refusal or reset: pause + refused + pause = 2.25 s; where the refusal itself comes late, since discovery has
- *     too many callers: pause + {@link #RECOVERY_TIMEOUT_MICROS} + pause = 5.25 s;
- * <li>answers with older revisions, after a reset: first + {@link #MAX_STALE_REVISIONS_MICROS} + pause = 2.875 s, then it is asked at once.
- * </ul>
- * What is left, 0.75 s at least, is for the answer and for a slow core. {@code WatchTimingTest} reckons these sums.
+ * <li>a watch after a successful one: {@link #WATCH_TIMEOUT_MICROS} + refused + first = 4.75 s, as it is
+ * repeated without a pause;
+ * <li>a call after a failed one that gets no answer, or an incomplete or slow one:
+ *     {@link #RECOVERY_TIMEOUT_MICROS} + pause + refused + pause = 5.25 s;
+ * <li>a connection that does not open: {@link #CONNECT_TIMEOUT_MICROS} + pause + refused + pause = 3.25 s;
+ * <li>a refusal or reset: pause + refused + pause = 2.25 s; if the refusal itself comes late, since discovery
+ * has too many callers: pause + {@link #RECOVERY_TIMEOUT_MICROS} + pause = 5.25 s;
+ * <li>answers with older revisions, after a reset: first + {@link #MAX_STALE_REVISIONS_MICROS} + pause =
+ * 2.875 s, after which discovery is called at once.
+ * </ul> The rest, at least 0.75 s, is for the answer and for a slow processor. {@code WatchTimingTest} checks
+ * the sums.
  */
 public final class WatchTiming {
-    /** Protocol: a change counts as told so long after discovery had it and could be reached. */
+    /** Protocol: a change has to arrive this soon after discovery has it and can be reached. */
     public static final long MAX_PROPAGATION_MICROS = 6_000_000;
-    /** How long a watch asks discovery to wait for news. */
+    /** How long a watch asks discovery to wait for a change. */
     public static final long WATCH_WAIT_MICROS = 3_000_000;
     /** How long an answer may take beyond the wait that was asked for. */
     public static final long RESPONSE_GRACE_MICROS = 1_000_000;
-    /** A watch with no whole answer by then is given up and made anew. */
+    /** A watch without a complete answer in this time is abandoned and repeated. */
     public static final long WATCH_TIMEOUT_MICROS = WATCH_WAIT_MICROS + RESPONSE_GRACE_MICROS;
-    /** What a call asks discovery to wait that follows a failure: it only finds out whether discovery answers. */
+    /** The wait that a call after a failure asks for: it only has to show whether discovery answers. */
     public static final long RECOVERY_WAIT_MICROS = 100_000;
-    /** Such a call fails without a whole answer by then; it may queue at a discovery service with many callers. */
+    /** Timeout of a call after a failure, which may queue at a discovery service with many callers. */
     public static final long RECOVERY_TIMEOUT_MICROS = 3_000_000;
-    /** How long a connection may take to come up. */
+    /** How long a connection to discovery may take to open. */
     public static final long CONNECT_TIMEOUT_MICROS = 1_000_000;
-    /** The same for an agent beside the dispatcher: what it gets counts as told at once. */
+    /** The same for an agent on the dispatcher's own host, whose changes count as arrived at once. */
     public static final long AGENT_CONNECT_TIMEOUT_MICROS = 200_000;
-    /** An agent is called again so soon after a failed call: a watch goes on over 200 ms at most. */
+    /** Pause after a failed call to an agent: a watch may be interrupted for 200 ms at most. */
     public static final long AGENT_RETRY_PAUSE_MICROS = 100_000;
-    /** Discovery's answers may stay older than the list in hand for so long; then it has begun anew. */
+    /** How long answers may be older than the current list; after that, discovery has started over. */
     public static final long MAX_STALE_REVISIONS_MICROS = 1_000_000;
-    /** The pause that follows a failed call grows up to this, before jitter: short enough for the sums above. */
+    /** Limit of the growing pause after failed calls, before jitter; the sums above depend on it. */
     public static final long MAX_RETRY_PAUSE_MICROS = 750_000;
-    /** The most by which jitter lengthens a pause; it spreads the calls of all dispatchers over as much time. */
+    /** Largest factor by which jitter lengthens a pause, to spread the calls of all dispatchers. */
     public static final double MAX_JITTER_FACTOR = 1.5;
 
     private WatchTiming() { }
 
     /**
-     * The pause after one more failed call, before jitter.
+     * Returns the pause after one more failed call, before jitter.
      *
-     * @param before   the pause before it
-     * @param askEvery how long a dispatcher may go without asking
+     * @param previousPauseMicros    the pause before that call
+     * @param maxWatchIntervalMicros the longest span between two calls to discovery
      */
-    static long nextRetryPauseMicros(long before, long askEvery) {
-        return Math.min(2 * before, Math.min(askEvery / 4, MAX_RETRY_PAUSE_MICROS));
+    static long nextRetryPauseMicros(long previousPauseMicros, long maxWatchIntervalMicros) {
+        return Math.min(2 * previousPauseMicros,
+            Math.min(maxWatchIntervalMicros / 4, MAX_RETRY_PAUSE_MICROS));
     }
 }
--- a/src/main/java/badgermux/decide/package-info.java
+++ b/src/main/java/badgermux/decide/package-info.java
@@ -1,4 +1,5 @@
 /**
- * All decisions: {@link badgermux.decide.Dispatch} is their interface, {@link badgermux.decide.Dispatcher} makes them.
+ * The decision module: {@link badgermux.decide.DispatchPolicy} is its interface, and
+ * {@link badgermux.decide.DefaultDispatchPolicy} implements it without I/O, threads or a clock.
  */
 package badgermux.decide;
