--- a/src/main/java/badgermux/decide/DefaultDispatchPolicy.java
+++ b/src/main/java/badgermux/decide/DefaultDispatchPolicy.java
@@ -56,7 +56,7 @@
     private static final double COLD_BUDGET_MARGIN = 0.5;
     /** Ratio of an even share of the cold budget to the smallest share that is given out. */
     private static final double COLD_SHARE_SPREAD = 2.4;
-    /** A request waits for reports for the tightest target time divided by this. */
+    /** Divides target times for waits, and a client timeout for the slack after a restart. */
     private static final int WAIT_DIVISOR = 4;
     /** Leniency of {@link #findCandidate} that looks at cold backends with a free slot only. */
     private static final int COLD_ONLY = -1;
@@ -216,7 +216,7 @@
     private double trafficShare;
     /** Time of the current event. */
     private long now;
-    /** When the first list came; earlier where the previous process told what it had sent; -1 before. */
+    /** When the first list came; earlier where the sends of the previous process are known; -1 before. */
     private long processStartedAt = -1;
     /** Pause before the next watch after a failed one, before jitter. */
     private long watchPauseMicros;
@@ -765,7 +765,7 @@
     }
 
     /**
-     * Checks an outstanding attempt. If it has not started in time or its progress reports have stopped, a
+     * Checks an outstanding attempt. If it has not started in time, or two progress reports are missing, a
      * hedged request goes to a backend that can probably start it at once.
      */
     private void checkAttempt(Attempt attempt) {
@@ -786,7 +786,7 @@
         boolean isWorthDropping = request.requestClass.effect() == Effect.REPEATABLE
             && request.requestClass.lateWorthShare() < 1.0 / 3;
         if (waits && isWorthDropping && now > request.latestStart && refuseOrFail(request)) return;
-        // Only a started attempt can fall silent. One that waits in a queue must not count as silent.
+        // Only a started attempt can fall silent. Hedging one that waits in a queue would waste capacity.
         boolean silent = attempt.lastProgressAt > 0 && settings.progressIntervalMicros > 0
             && now - attempt.lastProgressAt > 5 * settings.progressIntervalMicros / 2;
         boolean overdue = !settings.backendsReportStart
@@ -1138,10 +1138,10 @@
     }
 
     /**
-     * Returns how much one dispatcher may send to a cold backend in any window, in requests of mean work. The
-     * shares of all ranks, with one large request, add up to at most N + 2 * sqrt(N) + 2 (docs/fleet.md).
+     * Returns how much one dispatcher may send to a cold backend in any window, in requests of mean work.
+     * What all dispatchers send in a window adds up to at most N + 2 * sqrt(N) + 2 (docs/fleet.md).
      *
-     * @param n           work that overloads the backend in a window, in requests of mean work (N)
+     * @param n           work that would overload the backend in a window, in requests of mean work (N)
      * @param rank        the dispatcher's rank in this window, from 0, which has the largest share; or
      *                    {@link #LARGE_REQUEST_RANK} for the largest request that may be sent alone
      * @param dispatchers number of dispatchers
--- a/src/main/java/badgermux/decide/DispatchPolicy.java
+++ b/src/main/java/badgermux/decide/DispatchPolicy.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 
 /**
- * Interface of the decision module: its settings, the events that it is told of, and the {@link Actions} that
+ * Interface of the decision module: its settings, the events that it receives, and the {@link Actions} that
  * it answers with. Times and spans are microseconds on the caller's clock. Events for requests, attempts and
  * timers that are not known, or not known any more, are ignored.
  */
@@ -240,7 +240,7 @@
                 "kind or startedAtMicros of backend " + Long.toHexString(id) + " is negative");
         }
 
-        /** Whether the same classes may run on it as on {@code other}, which may be null. */
+        /** Whether it fits into the same groups as {@code other}; false for null. */
         boolean hasSameZoneAndKind(Backend other) {
             return other != null && kind == other.kind && zone == other.zone;
         }
@@ -378,7 +378,7 @@
          */
         void refuse(long requestId, long retryAfterMicros);
 
-        /** Final answer: the request failed, and it may have had its effect. */
+        /** Final answer: the request failed, and whether it had its effect is not known. */
         void fail(long requestId);
 
         /** Stops waiting for an attempt, which is still reported as ended. */
--- a/src/test/java/badgermux/decide/ArgumentValidationTest.java
+++ b/src/test/java/badgermux/decide/ArgumentValidationTest.java
@@ -3,14 +3,14 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import badgermux.decide.DispatchPolicy.Backend;
+import badgermux.decide.DispatchPolicy.BackendState;
+import badgermux.decide.DispatchPolicy.DedupScope;
 import badgermux.decide.DispatchPolicy.Effect;
 import badgermux.decide.DispatchPolicy.Request;
 import badgermux.decide.DispatchPolicy.RequestClass;
-import badgermux.decide.DispatchPolicy.DedupScope;
 import badgermux.decide.DispatchPolicy.Settings;
 import badgermux.decide.DispatchPolicy.Tenant;
-import badgermux.decide.DispatchPolicy.Backend;
-import badgermux.decide.DispatchPolicy.BackendState;
 import java.util.function.Consumer;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/badgermux/decide/ExampleTest.java
+++ b/src/test/java/badgermux/decide/ExampleTest.java
@@ -11,19 +11,19 @@
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
 
-/** The program that README shows is the one compiled here, and prints what README says. */
+/** The README shows the program that is compiled here, and its output. */
 class ExampleTest {
-    @Test void readmeShowsThisProgramAndWhatItPrints() throws IOException {
+    @Test void readmeShowsThisProgramAndItsOutput() throws IOException {
         String readme = Files.readString(Path.of("README.md"));
         String program = Files.readString(Path.of("src", "test", "java", "badgermux", "decide", "Example.java"));
-        assertTrue(readme.contains("```java\n" + program + "```"), "README shows another program");
-        PrintStream usual = System.out;
+        assertTrue(readme.contains("```java\n" + program + "```"), "the README does not show Example.java");
+        PrintStream originalOut = System.out;
         ByteArrayOutputStream printed = new ByteArrayOutputStream();
         System.setOut(new PrintStream(printed, true, StandardCharsets.UTF_8));
         try {
             Example.main(new String[0]);
         } finally {
-            System.setOut(usual);
+            System.setOut(originalOut);
         }
         String shown = readme.substring(readme.indexOf("```text\n") + 8);
         assertEquals(shown.substring(0, shown.indexOf("```")),
--- a/src/test/java/badgermux/decide/PolicyFixture.java
+++ b/src/test/java/badgermux/decide/PolicyFixture.java
@@ -1,21 +1,29 @@
 package badgermux.decide;
 
+import badgermux.decide.DispatchPolicy.Backend;
+import badgermux.decide.DispatchPolicy.BackendState;
+import badgermux.decide.DispatchPolicy.DedupScope;
 import badgermux.decide.DispatchPolicy.Effect;
-import badgermux.decide.DispatchPolicy.RequestClass;
 import badgermux.decide.DispatchPolicy.ListUpdate;
-import badgermux.decide.DispatchPolicy.Outcome;
 import badgermux.decide.DispatchPolicy.LoadReport;
-import badgermux.decide.DispatchPolicy.DedupScope;
+import badgermux.decide.DispatchPolicy.Outcome;
+import badgermux.decide.DispatchPolicy.RequestClass;
 import badgermux.decide.DispatchPolicy.Settings;
-import badgermux.decide.DispatchPolicy.Backend;
-import badgermux.decide.DispatchPolicy.BackendState;
 import java.util.Arrays;
 import java.util.List;
 
-/** A dispatcher under test, with made-up settings and short ways to tell it of events. */
+/** A policy under test with example settings, and short methods for its events. */
 final class PolicyFixture {
-    static final long MS = 1_000, SECOND = 1_000_000;
-    static final int RENDER = 0, SAVE = 1, PAY = 2;
+    /** A millisecond, in microseconds. */
+    static final long MS = 1_000;
+    /** A second, in microseconds. */
+    static final long SECOND = 1_000_000;
+    /** Index of a class that may be repeated. */
+    static final int RENDER = 0;
+    /** Index of a class whose repeats a cell drops by their key. */
+    static final int SAVE = 1;
+    /** Index of a class that must run once. */
+    static final int PAY = 2;
 
     final Settings settings = new Settings();
     final RecordingActions actions = new RecordingActions();
@@ -40,17 +48,19 @@
         settings.classes.add(requestClass("pay", Effect.ONCE, DedupScope.ALL, -1));
     }
 
+    /** Returns a class with a target time of 300 ms, a client timeout of 5 s and a dedup window of 3 s. */
     static RequestClass requestClass(String name, Effect effect, DedupScope scope, int kind) {
         return new RequestClass(name, effect, scope, 300 * MS, 1.5, 5 * SECOND, 3 * SECOND, 1, 0, kind, false);
     }
 
-    PolicyFixture start(Backend... workers) {
+    /** Creates the policy and gives it a cached list of these backends. */
+    PolicyFixture start(Backend... backends) {
         policy = new DefaultDispatchPolicy(settings, 7, actions);
-        listBackends(ListUpdate.CACHED, workers);
+        listBackends(ListUpdate.CACHED, backends);
         return this;
     }
 
-    /** Ready workers with ids 1 to n, two to a cell, four to a zone, all of kind 0 and long warm. */
+    /** Returns ready backends with ids 1 to n, two to a cell, four to a zone, all of kind 0 and warm. */
     static Backend[] fleet(int n) {
         Backend[] fleet = new Backend[n];
         Arrays.setAll(fleet, i -> backend(i + 1, BackendState.READY, 0));
@@ -61,49 +71,52 @@
         return new Backend(id, (int) (id - 1) / 4, 0, (int) (id - 1) / 2, state, startedAt);
     }
 
-    void listBackends(ListUpdate update, Backend... workers) {
-        policy.backendsListed(actions.now, update, List.of(workers));
+    void listBackends(ListUpdate update, Backend... backends) {
+        policy.backendsListed(actions.now, update, List.of(backends));
     }
 
     void advance(long span) {
         actions.advance(policy, actions.now + span);
     }
 
-    long request(int jobClass) {
-        return request(jobClass, 5 * SECOND);
+    /** Sends a request whose client waits for 5 s; returns its id. */
+    long request(int classIndex) {
+        return request(classIndex, 5 * SECOND);
     }
 
-    long request(int jobClass, long left) {
-        return request(new DispatchPolicy.Request(nextRequestId, jobClass, 0, 1, 0, left));
+    long request(int classIndex, long remaining) {
+        return request(new DispatchPolicy.Request(nextRequestId, classIndex, 0, 1, 0, remaining));
     }
 
-    long request(DispatchPolicy.Request job) {
-        nextRequestId = job.id() + 1;
-        policy.requestReceived(actions.now, job);
-        return job.id();
+    long request(DispatchPolicy.Request request) {
+        nextRequestId = request.id() + 1;
+        policy.requestReceived(actions.now, request);
+        return request.id();
     }
 
     long nextRequestId() {
         return nextRequestId;
     }
 
-    void endAttempt(long job, int attempt, Outcome outcome) {
-        endAttempt(job, attempt, outcome, null);
+    void endAttempt(long request, int attempt, Outcome outcome) {
+        endAttempt(request, attempt, outcome, null);
     }
 
-    void endAttempt(long job, int attempt, Outcome outcome, LoadReport report) {
-        List<RecordingActions.Send> of = actions.sends.stream().filter(x -> x.requestId() == job).toList();
-        long worker = of.isEmpty() ? 0 : of.get(Math.min(attempt, of.size() - 1)).backendId();
-        policy.attemptEnded(actions.now, job, attempt, worker, outcome, outcome == Outcome.SERVED, report);
+    /** Ends an attempt at the backend that it was sent to; the outcome SERVED settles the request. */
+    void endAttempt(long request, int attempt, Outcome outcome, LoadReport report) {
+        List<RecordingActions.Send> sends =
+            actions.sends.stream().filter(send -> send.requestId() == request).toList();
+        long backend = sends.isEmpty() ? 0 : sends.get(Math.min(attempt, sends.size() - 1)).backendId();
+        policy.attemptEnded(actions.now, request, attempt, backend, outcome, outcome == Outcome.SERVED, report);
     }
 
-    /** Sends one job and lets it be served after {@code run}, so that run times are known. */
-    long serve(int jobClass, long run, LoadReport report) {
-        long job = request(jobClass);
-        policy.attemptStarted(actions.now, job, 0);
+    /** Sends a request that is started at once and served after {@code run}, so that run times are known. */
+    long serve(int classIndex, long run, LoadReport report) {
+        long request = request(classIndex);
+        policy.attemptStarted(actions.now, request, 0);
         advance(run);
-        endAttempt(job, 0, Outcome.SERVED, report);
-        return job;
+        endAttempt(request, 0, Outcome.SERVED, report);
+        return request;
     }
 
     static LoadReport reportOfFreeSlots(double slots) {
@@ -112,12 +125,13 @@
         return report;
     }
 
-    /** Tells of a worker's load as a probe's answer would. */
-    void answerProbe(long worker, double freeSlots) {
-        policy.probeEnded(actions.now, worker, true, reportOfFreeSlots(freeSlots));
+    /** Reports a backend's free slots in the answer to a probe. */
+    void answerProbe(long backend, double freeSlots) {
+        policy.probeEnded(actions.now, backend, true, reportOfFreeSlots(freeSlots));
     }
 
-    int sendCount(long job) {
-        return (int) actions.sends.stream().filter(x -> x.requestId() == job).count();
+    /** Returns how many attempts of a request were sent. */
+    int sendCount(long request) {
+        return (int) actions.sends.stream().filter(send -> send.requestId() == request).count();
     }
 }
--- a/src/test/java/badgermux/decide/RulesTest.java
+++ b/src/test/java/badgermux/decide/RulesTest.java
@@ -5,19 +5,22 @@
 import static badgermux.decide.PolicyFixture.RENDER;
 import static badgermux.decide.PolicyFixture.SAVE;
 import static badgermux.decide.PolicyFixture.SECOND;
-import static badgermux.decide.PolicyFixture.fleet;
 import static badgermux.decide.PolicyFixture.backend;
+import static badgermux.decide.PolicyFixture.fleet;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import badgermux.decide.DispatchPolicy.Backend;
+import badgermux.decide.DispatchPolicy.BackendState;
+import badgermux.decide.DispatchPolicy.DedupScope;
 import badgermux.decide.DispatchPolicy.Effect;
 import badgermux.decide.DispatchPolicy.ListUpdate;
+import badgermux.decide.DispatchPolicy.LoadReport;
 import badgermux.decide.DispatchPolicy.Outcome;
-import badgermux.decide.DispatchPolicy.DedupScope;
-import badgermux.decide.DispatchPolicy.Backend;
-import badgermux.decide.DispatchPolicy.BackendState;
+import badgermux.decide.DispatchPolicy.ReportMode;
+import badgermux.decide.DispatchPolicy.RequestClass;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
@@ -26,555 +29,563 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** The four rules, guard by guard. */
+/** The four rules of the policy, and each condition that keeps them. */
 class RulesTest {
-    private PolicyFixture rig = new PolicyFixture();
+    private PolicyFixture fixture = new PolicyFixture();
 
     // ---- Rule 1: one final answer in time
 
-    @Test void heldJobIsRefusedBeforeItsClientGivesUp() {
-        rig.start();
-        long job = rig.request(RENDER, 250 * MS);
-        rig.advance(100 * MS);
-        assertEquals(List.of(), rig.actions.refused, "still time for a worker to appear");
-        rig.advance(145 * MS);
-        assertEquals(List.of(job), rig.actions.refused);
-        rig.listBackends(ListUpdate.FULL, fleet(4));
-        rig.advance(5 * SECOND);
-        assertEquals(0, rig.sendCount(job), "nothing is sent after the final answer");
-    }
-
-    @Test void heldJobGoesOutAsSoonAsAWorkerAppears() {
-        rig.start();
-        long job = rig.request(PAY);
-        rig.listBackends(ListUpdate.FULL, fleet(2));
-        assertEquals(1, rig.sendCount(job));
-    }
-
-    @Test void timeOutAtTheDeadlineIsAnsweredOnce() {
-        rig.start(fleet(4));
-        long job = rig.request(PAY);
-        rig.advance(5 * SECOND);
-        rig.endAttempt(job, 0, Outcome.TIMED_OUT);
-        rig.endAttempt(job, 0, Outcome.TIMED_OUT);
-        assertEquals(List.of(job), rig.actions.failed);
-        assertEquals(1, rig.actions.sends.size());
-    }
-
-    @Test void nothingIsSentOrAnsweredAfterTheClientLeft() {
-        rig.start(fleet(4));
-        long job = rig.request(RENDER);
-        rig.policy.clientDisconnected(rig.actions.now, job);
-        rig.endAttempt(job, 0, Outcome.RESET);
-        rig.advance(10 * SECOND);
-        assertEquals(1, rig.sendCount(job));
-        assertEquals(List.of(), rig.actions.refused);
-        assertEquals(List.of(), rig.actions.failed);
-        assertEquals(List.of(job + "/0"), rig.actions.cancelled);
-    }
-
-    @Test void servedJobIsOverAndItsCopyWithdrawn() {
-        rig.settings.reportMode = DispatchPolicy.ReportMode.NEVER;
-        rig.start(fleet(8));
-        long job = rig.request(RENDER);
-        rig.advance(50 * MS);
-        assertEquals(2, rig.sendCount(job), "unstarted for an eighth of the aim: a copy");
-        rig.endAttempt(job, 1, Outcome.SERVED);
-        assertEquals(List.of(job + "/0"), rig.actions.cancelled);
-        rig.endAttempt(job, 0, Outcome.CANCELLED);
-        rig.advance(10 * SECOND);
-        assertEquals(2, rig.sendCount(job));
-        assertEquals(List.of(), rig.actions.refused);
-        assertEquals(List.of(), rig.actions.failed);
-    }
-
-    @Test void unknownLateAndRepeatedEventsAreHarmless() {
-        rig.start(fleet(4));
-        long job = rig.request(PAY);
-        rig.endAttempt(job, 0, Outcome.SERVED);
-        int actions = rig.actions.descriptions.size();
-        rig.policy.attemptStarted(rig.actions.now, job, 0);
-        rig.policy.attemptProgressed(rig.actions.now, 99, 3);
-        rig.policy.responseStreaming(rig.actions.now, 99, 0);
-        rig.policy.clientDisconnected(rig.actions.now, job);
-        rig.policy.clientDisconnected(rig.actions.now, 99);
-        rig.policy.attemptEnded(rig.actions.now, job, 0, 1, Outcome.RESET, true, null);
-        rig.policy.attemptEnded(rig.actions.now, 99, 7, 55, Outcome.SERVED, true, PolicyFixture.reportOfFreeSlots(3));
-        rig.policy.probeEnded(rig.actions.now, 55, true, PolicyFixture.reportOfFreeSlots(3));
-        rig.policy.timerFired(rig.actions.now, 123_456);
-        assertEquals(actions, rig.actions.descriptions.size(), () -> rig.actions.descriptions.toString());
+    @Test void heldRequestIsRefusedBeforeItsClientGivesUp() {
+        fixture.start();
+        long request = fixture.request(RENDER, 250 * MS);
+        fixture.advance(100 * MS);
+        assertEquals(List.of(), fixture.actions.refused, "a backend may still appear in time");
+        fixture.advance(145 * MS);
+        assertEquals(List.of(request), fixture.actions.refused);
+        fixture.listBackends(ListUpdate.FULL, fleet(4));
+        fixture.advance(5 * SECOND);
+        assertEquals(0, fixture.sendCount(request), "nothing is sent after the final answer");
+    }
+
+    @Test void heldRequestIsSentAsSoonAsABackendAppears() {
+        fixture.start();
+        long request = fixture.request(PAY);
+        fixture.listBackends(ListUpdate.FULL, fleet(2));
+        assertEquals(1, fixture.sendCount(request));
+    }
+
+    @Test void timeoutAtTheDeadlineIsAnsweredOnce() {
+        fixture.start(fleet(4));
+        long request = fixture.request(PAY);
+        fixture.advance(5 * SECOND);
+        fixture.endAttempt(request, 0, Outcome.TIMED_OUT);
+        fixture.endAttempt(request, 0, Outcome.TIMED_OUT);
+        assertEquals(List.of(request), fixture.actions.failed);
+        assertEquals(1, fixture.actions.sends.size());
+    }
+
+    @Test void nothingIsSentOrAnsweredAfterTheClientDisconnected() {
+        fixture.start(fleet(4));
+        long request = fixture.request(RENDER);
+        fixture.policy.clientDisconnected(fixture.actions.now, request);
+        fixture.endAttempt(request, 0, Outcome.RESET);
+        fixture.advance(10 * SECOND);
+        assertEquals(1, fixture.sendCount(request));
+        assertEquals(List.of(), fixture.actions.refused);
+        assertEquals(List.of(), fixture.actions.failed);
+        assertEquals(List.of(request + "/0"), fixture.actions.cancelled);
+    }
+
+    @Test void otherAttemptIsCancelledWhenARequestIsServed() {
+        fixture.settings.reportMode = ReportMode.NEVER;
+        fixture.start(fleet(8));
+        long request = fixture.request(RENDER);
+        fixture.advance(50 * MS);
+        assertEquals(2, fixture.sendCount(request), "hedged after an eighth of the target time without a start");
+        fixture.endAttempt(request, 1, Outcome.SERVED);
+        assertEquals(List.of(request + "/0"), fixture.actions.cancelled);
+        fixture.endAttempt(request, 0, Outcome.CANCELLED);
+        fixture.advance(10 * SECOND);
+        assertEquals(2, fixture.sendCount(request));
+        assertEquals(List.of(), fixture.actions.refused);
+        assertEquals(List.of(), fixture.actions.failed);
+    }
+
+    @Test void unknownLateAndRepeatedEventsAreIgnored() {
+        fixture.start(fleet(4));
+        long request = fixture.request(PAY);
+        fixture.endAttempt(request, 0, Outcome.SERVED);
+        int actions = fixture.actions.descriptions.size();
+        fixture.policy.attemptStarted(fixture.actions.now, request, 0);
+        fixture.policy.attemptProgressed(fixture.actions.now, 99, 3);
+        fixture.policy.responseStreaming(fixture.actions.now, 99, 0);
+        fixture.policy.clientDisconnected(fixture.actions.now, request);
+        fixture.policy.clientDisconnected(fixture.actions.now, 99);
+        fixture.policy.attemptEnded(fixture.actions.now, request, 0, 1, Outcome.RESET, true, null);
+        fixture.policy.attemptEnded(fixture.actions.now, 99, 7, 55, Outcome.SERVED, true, PolicyFixture.reportOfFreeSlots(3));
+        fixture.policy.probeEnded(fixture.actions.now, 55, true, PolicyFixture.reportOfFreeSlots(3));
+        fixture.policy.timerFired(fixture.actions.now, 123_456);
+        assertEquals(actions, fixture.actions.descriptions.size(), () -> fixture.actions.descriptions.toString());
     }
 
     // ---- Rule 2: no effect twice
 
     @ParameterizedTest @EnumSource(Outcome.class)
-    void onceJobGoesAgainOnlyIfItNeverRan(Outcome outcome) {
-        rig.start(fleet(8));
-        long job = rig.request(PAY);
-        rig.endAttempt(job, 0, outcome);
+    void onceRequestIsRetriedOnlyIfItNeverRan(Outcome outcome) {
+        fixture.start(fleet(8));
+        long request = fixture.request(PAY);
+        fixture.endAttempt(request, 0, outcome);
         boolean again = outcome.neverRan();
-        assertEquals(again ? 2 : 1, rig.sendCount(job));
-        assertEquals(again || outcome == Outcome.SERVED ? List.of() : List.of(job), rig.actions.failed);
-        assertEquals(List.of(), rig.actions.refused);
-    }
-
-    @Test void onceJobThatWasOnlyTurnedAwayIsRefusedAndOneThatMayHaveRunFails() {
-        rig.settings.maxAttempts = 2;
-        rig.start(fleet(8));
-        long away = rig.request(PAY);
-        rig.endAttempt(away, 0, Outcome.REJECTED);
-        rig.endAttempt(away, 1, Outcome.REJECTED);
-        assertEquals(List.of(away), rig.actions.refused);
-        long ran = rig.request(PAY);
-        rig.endAttempt(ran, 0, Outcome.REJECTED);
-        rig.endAttempt(ran, 1, Outcome.RESET);
-        assertEquals(List.of(ran), rig.actions.failed);
-    }
-
-    /** Where workers also turn away what they had begun, 'full' is no proof: seen as a keyed job sent to another zone. */
-    @Test void aRejectedJobThatMayHaveRunIsNeitherRepeatedNorRefused() {
-        rig.settings.rejectedMayHaveRun = true;
-        rig.start(fleet(16));
-        long once = rig.request(PAY);
-        rig.endAttempt(once, 0, Outcome.REJECTED);
-        assertEquals(1, rig.sendCount(once));
-        assertEquals(List.of(once), rig.actions.failed);
-        long keyed = rig.request(SAVE);
+        assertEquals(again ? 2 : 1, fixture.sendCount(request));
+        assertEquals(again || outcome == Outcome.SERVED ? List.of() : List.of(request), fixture.actions.failed);
+        assertEquals(List.of(), fixture.actions.refused);
+    }
+
+    @Test void onceRequestIsRefusedIfOnlyRejectedAndFailsIfItMayHaveRun() {
+        fixture.settings.maxAttempts = 2;
+        fixture.start(fleet(8));
+        long rejected = fixture.request(PAY);
+        fixture.endAttempt(rejected, 0, Outcome.REJECTED);
+        fixture.endAttempt(rejected, 1, Outcome.REJECTED);
+        assertEquals(List.of(rejected), fixture.actions.refused);
+        long ran = fixture.request(PAY);
+        fixture.endAttempt(ran, 0, Outcome.REJECTED);
+        fixture.endAttempt(ran, 1, Outcome.RESET);
+        assertEquals(List.of(ran), fixture.actions.failed);
+    }
+
+    /** Where backends also reject work that they have begun, a keyed request must not go on to another zone. */
+    @Test void rejectedRequestThatMayHaveRunIsNeitherRetriedElsewhereNorRefused() {
+        fixture.settings.rejectedMayHaveRun = true;
+        fixture.start(fleet(16));
+        long once = fixture.request(PAY);
+        fixture.endAttempt(once, 0, Outcome.REJECTED);
+        assertEquals(1, fixture.sendCount(once));
+        assertEquals(List.of(once), fixture.actions.failed);
+        long keyed = fixture.request(SAVE);
         for (int i = 0; i < 4; i++) {
-            rig.endAttempt(keyed, i, Outcome.REJECTED);
+            fixture.endAttempt(keyed, i, Outcome.REJECTED);
         }
-        List<Long> cells = rig.actions.sends.stream().filter(x -> x.requestId() == keyed).map(x -> (x.backendId() - 1) / 2).toList();
+        List<Long> cells = fixture.actions.sends.stream().filter(send -> send.requestId() == keyed)
+            .map(send -> (send.backendId() - 1) / 2).toList();
         assertEquals(4, cells.size());
         assertEquals(1, Set.copyOf(cells).size(), "left its cell: " + cells);
-        assertEquals(List.of(once, keyed), rig.actions.failed);
-        assertEquals(List.of(), rig.actions.refused);
-    }
-
-    @Test void aRejectedKeyedJobIsNotSentAgainAfterItsWindowWhereItMayHaveRun() {
-        aLateSaveIsWorthSomething();
-        rig.settings.rejectedMayHaveRun = true;
-        rig.start(fleet(16));
-        long job = rig.request(SAVE);
-        rig.policy.attemptStarted(rig.actions.now, job, 0);
-        rig.advance(2 * SECOND);
-        rig.policy.attemptProgressed(rig.actions.now, job, 0);
-        rig.advance(999 * MS);
-        rig.endAttempt(job, 0, Outcome.REJECTED);
-        rig.advance(SECOND);
-        assertEquals(1, rig.sendCount(job));
-        assertEquals(List.of(job), rig.actions.failed);
-    }
-
-    @Test void aRefusalSaysWhenToComeBack() {
-        rig.settings.maxRetryAfterMicros = 2 * SECOND;
-        rig.start(fleet(4));
-        rig.serve(RENDER, 400 * MS, null);
-        rig.listBackends(ListUpdate.FULL);
-        rig.request(RENDER);
-        rig.advance(SECOND);
-        assertEquals(List.of(400 * MS), rig.actions.retryAfters, "one mean run");
-    }
-
-    /** A job whose answer is worth nothing any more was tried again until shortly before its deadline. */
-    @Test void aJobGivenUpIsAnsweredAtOnce() {
-        rig.start(fleet(4));
-        long job = rig.request(PAY);
-        rig.advance(SECOND);
-        rig.endAttempt(job, 0, Outcome.REJECTED);
-        assertEquals(List.of(job), rig.actions.refused);
-        assertEquals(1, rig.sendCount(job));
+        assertEquals(List.of(once, keyed), fixture.actions.failed);
+        assertEquals(List.of(), fixture.actions.refused);
+    }
+
+    @Test void rejectedKeyedRequestThatMayHaveRunIsNotRetriedAfterItsWindow() {
+        makeLateSavesEarnHalf();
+        fixture.settings.rejectedMayHaveRun = true;
+        fixture.start(fleet(16));
+        long request = fixture.request(SAVE);
+        fixture.policy.attemptStarted(fixture.actions.now, request, 0);
+        fixture.advance(2 * SECOND);
+        fixture.policy.attemptProgressed(fixture.actions.now, request, 0);
+        fixture.advance(999 * MS);
+        fixture.endAttempt(request, 0, Outcome.REJECTED);
+        fixture.advance(SECOND);
+        assertEquals(1, fixture.sendCount(request));
+        assertEquals(List.of(request), fixture.actions.failed);
+    }
+
+    @Test void refusalSaysWhenToComeBack() {
+        fixture.settings.maxRetryAfterMicros = 2 * SECOND;
+        fixture.start(fleet(4));
+        fixture.serve(RENDER, 400 * MS, null);
+        fixture.listBackends(ListUpdate.FULL);
+        fixture.request(RENDER);
+        fixture.advance(SECOND);
+        assertEquals(List.of(400 * MS), fixture.actions.retryAfters, "one mean run");
+    }
+
+    /** A request whose answer can no longer earn anything must not be retried until shortly before its deadline. */
+    @Test void requestThatCannotSucceedIsAnsweredAtOnce() {
+        fixture.start(fleet(4));
+        long request = fixture.request(PAY);
+        fixture.advance(SECOND);
+        fixture.endAttempt(request, 0, Outcome.REJECTED);
+        assertEquals(List.of(request), fixture.actions.refused);
+        assertEquals(1, fixture.sendCount(request));
     }
 
     // ---- Where a class may run
 
-    /** Seen as charges sent to other rooms as soon as those of their own were busy or the draw fell there. */
-    @Test void everyAttemptStaysWhereItsClassMayRunCopiesToo() {
-        rig.settings.reportMode = DispatchPolicy.ReportMode.NEVER;
-        rig.settings.classes.add(new DispatchPolicy.RequestClass("bound", Effect.REPEATABLE, DedupScope.ALL, 300 * MS, 1.5, 5 * SECOND, 0,
+    /** Also if all backends there are busy, or the random draw falls on another group, and for hedged attempts. */
+    @Test void everyAttemptStaysWhereItsClassMayRun() {
+        fixture.settings.reportMode = ReportMode.NEVER;
+        fixture.settings.classes.add(new RequestClass("bound", Effect.REPEATABLE, DedupScope.ALL, 300 * MS, 1.5, 5 * SECOND, 0,
             1, 0.5, null, Set.of(1), false));
-        rig.start(fleet(16));
+        fixture.start(fleet(16));
         for (int i = 0; i < 30; i++) {
-            long job = rig.request(3);
+            long request = fixture.request(3);
             if (i % 2 == 0) {
-                rig.endAttempt(job, 0, Outcome.REJECTED);
+                fixture.endAttempt(request, 0, Outcome.REJECTED);
             }
-            rig.advance(50 * MS);
+            fixture.advance(50 * MS);
         }
-        assertTrue(rig.actions.sends.size() > 45, "attempts and copies: " + rig.actions.sends.size());
-        assertEquals(Set.of(1L), rig.actions.sends.stream().map(x -> (x.backendId() - 1) / 4).collect(Collectors.toSet()));
+        assertTrue(fixture.actions.sends.size() > 45, "attempts, with hedged ones: " + fixture.actions.sends.size());
+        assertEquals(Set.of(1L), fixture.actions.sends.stream().map(send -> (send.backendId() - 1) / 4)
+            .collect(Collectors.toSet()));
     }
 
-    @Test void aBoundJobIsHeldWhileNoWorkerOfItsZoneIsReadyThenRefused() {
-        rig.settings.classes.add(new DispatchPolicy.RequestClass("bound", Effect.ONCE, DedupScope.ALL, 300 * MS, 1.5, 5 * SECOND, 0,
+    @Test void requestBoundToAZoneIsHeldAndThenRefusedWithoutABackendThere() {
+        fixture.settings.classes.add(new RequestClass("bound", Effect.ONCE, DedupScope.ALL, 300 * MS, 1.5, 5 * SECOND, 0,
             1, 0, Set.of(0), Set.of(1), false));
-        rig.start(fleet(4));
-        long job = rig.request(3);
-        rig.listBackends(ListUpdate.DELTA, new Backend(5, 1, 1, 2, BackendState.READY, 0));
-        rig.advance(50 * MS);
-        assertEquals(0, rig.sendCount(job), "the right zone, but the wrong kind");
-        rig.advance(5 * SECOND);
-        assertEquals(List.of(job), rig.actions.refused);
-        assertEquals(0, rig.sendCount(job));
+        fixture.start(fleet(4));
+        long request = fixture.request(3);
+        fixture.listBackends(ListUpdate.DELTA, new Backend(5, 1, 1, 2, BackendState.READY, 0));
+        fixture.advance(50 * MS);
+        assertEquals(0, fixture.sendCount(request), "the backend is in the right zone, but of the wrong kind");
+        fixture.advance(5 * SECOND);
+        assertEquals(List.of(request), fixture.actions.refused);
+        assertEquals(0, fixture.sendCount(request));
     }
 
-    @Test void onceJobIsNeverCopied() {
-        rig.start(fleet(8));
-        long job = rig.request(PAY);
-        rig.advance(4 * SECOND);
-        assertEquals(1, rig.sendCount(job));
-        assertEquals(List.of(), rig.actions.cancelled);
+    @Test void onceRequestIsNeverHedged() {
+        fixture.start(fleet(8));
+        long request = fixture.request(PAY);
+        fixture.advance(4 * SECOND);
+        assertEquals(1, fixture.sendCount(request));
+        assertEquals(List.of(), fixture.actions.cancelled);
     }
 
     @ParameterizedTest @EnumSource(DedupScope.class)
-    void keyedJobThatMayHaveRunStaysInItsScope(DedupScope scope) {
-        rig.settings.classes.set(SAVE, PolicyFixture.requestClass("save", Effect.BY_KEY, scope, -1));
-        rig.start(fleet(16));
+    void keyedRequestThatMayHaveRunStaysInItsScope(DedupScope scope) {
+        fixture.settings.classes.set(SAVE, PolicyFixture.requestClass("save", Effect.BY_KEY, scope, -1));
+        fixture.start(fleet(16));
         for (int i = 0; i < 40; i++) {
-            long job = rig.request(SAVE);
-            long first = rig.actions.lastSend().backendId();
-            rig.endAttempt(job, 0, Outcome.ERROR);
-            long second = rig.actions.lastSend().backendId();
-            assertEquals(2, rig.sendCount(job));
+            long request = fixture.request(SAVE);
+            long first = fixture.actions.lastSend().backendId();
+            fixture.endAttempt(request, 0, Outcome.ERROR);
+            long second = fixture.actions.lastSend().backendId();
+            assertEquals(2, fixture.sendCount(request));
             long size = scope == DedupScope.CELL ? 2 : scope == DedupScope.ZONE ? 4 : 16;
             assertEquals((first - 1) / size, (second - 1) / size, scope + ": " + first + " then " + second);
-            rig.endAttempt(job, 1, Outcome.SERVED);
-            rig.advance(SECOND);
+            fixture.endAttempt(request, 1, Outcome.SERVED);
+            fixture.advance(SECOND);
         }
     }
 
-    /** Else a job that is late is given up before its window counts. */
-    private void aLateSaveIsWorthSomething() {
-        rig.settings.classes.set(SAVE, new DispatchPolicy.RequestClass("save", Effect.BY_KEY, DedupScope.CELL, 300 * MS, 1.5, 5 * SECOND,
+    /** A late request that earns nothing would be given up before its window matters. */
+    private void makeLateSavesEarnHalf() {
+        fixture.settings.classes.set(SAVE, new RequestClass("save", Effect.BY_KEY, DedupScope.CELL, 300 * MS, 1.5, 5 * SECOND,
             3 * SECOND, 1, 0.5, -1, false));
     }
 
-    @Test void keyedJobIsNotSentAgainAfterTheWindow() {
-        aLateSaveIsWorthSomething();
-        rig.start(fleet(16));
-        long job = rig.request(SAVE);
-        rig.policy.attemptStarted(rig.actions.now, job, 0);
-        rig.policy.attemptProgressed(rig.actions.now, job, 0);
-        rig.advance(2 * SECOND);
-        rig.policy.attemptProgressed(rig.actions.now, job, 0);
-        rig.advance(999 * MS);
-        rig.endAttempt(job, 0, Outcome.RESET);
-        rig.advance(SECOND);
-        assertEquals(1, rig.sendCount(job));
-        assertEquals(List.of(job), rig.actions.failed, "it may have run, so it is no refusal");
+    @Test void keyedRequestIsNotRetriedAfterItsWindow() {
+        makeLateSavesEarnHalf();
+        fixture.start(fleet(16));
+        long request = fixture.request(SAVE);
+        fixture.policy.attemptStarted(fixture.actions.now, request, 0);
+        fixture.policy.attemptProgressed(fixture.actions.now, request, 0);
+        fixture.advance(2 * SECOND);
+        fixture.policy.attemptProgressed(fixture.actions.now, request, 0);
+        fixture.advance(999 * MS);
+        fixture.endAttempt(request, 0, Outcome.RESET);
+        fixture.advance(SECOND);
+        assertEquals(1, fixture.sendCount(request));
+        assertEquals(List.of(request), fixture.actions.failed, "it may have run, so it is not refused");
     }
 
     @Test void windowCountsFromTheFirstAttemptThatMayHaveRun() {
-        rig.settings.reportMode = DispatchPolicy.ReportMode.NEVER;
-        aLateSaveIsWorthSomething();
-        rig.start(fleet(16));
-        long job = rig.request(SAVE);
-        rig.advance(SECOND);
-        assertEquals(2, rig.sendCount(job), "a copy inside the cell");
-        rig.advance(1_500 * MS);
-        rig.endAttempt(job, 1, Outcome.REJECTED);
-        rig.advance(499 * MS);
-        rig.endAttempt(job, 0, Outcome.RESET);
-        assertEquals(2, rig.sendCount(job));
-        assertEquals(List.of(job), rig.actions.failed);
-    }
-
-    /** The attempt may wait for its connection for as long as one may take: by then the window was over. */
-    @Test void aRepeatOfAKeyedJobLeavesTheWindowTimeForItsConnection() {
-        aLateSaveIsWorthSomething();
-        rig.settings.connectTimeoutMicros = 300 * MS;
-        rig.settings.mayHedge = false;
-        rig.start(fleet(8));
-        long window = rig.settings.classes.get(SAVE).dedupWindowMicros();
-        long early = rig.request(SAVE), late = rig.request(SAVE);
-        rig.advance(window - 400 * MS);
-        rig.endAttempt(early, 0, Outcome.RESET);
-        assertEquals(2, rig.sendCount(early));
-        rig.advance(200 * MS);
-        rig.endAttempt(late, 0, Outcome.RESET);
-        assertEquals(1, rig.sendCount(late), "its connection might come up outside the window");
-        assertEquals(List.of(late), rig.actions.failed);
-    }
-
-    /** Moved to another worker when it did not start, a job ran twice where a cancel stops nothing. */
-    @Test void neverTwoAttemptsAtOnceNorAMoveWhereThatIsForbidden() {
-        rig.settings.mayHedge = false;
-        rig.start(fleet(8));
-        long job = rig.request(RENDER);
-        rig.advance(200 * MS);
-        assertEquals(1, rig.sendCount(job));
-        assertEquals(List.of(), rig.actions.cancelled, "what waits there keeps its place");
-        rig.endAttempt(job, 0, Outcome.RESET);
-        assertEquals(2, rig.sendCount(job));
-    }
-
-    @Test void aStreamIsNeitherCopiedNorRepeatedOnceItHasBegun() {
-        rig.settings.classes.add(new DispatchPolicy.RequestClass("stream", Effect.REPEATABLE, DedupScope.ALL, 300 * MS, 1.5, 5 * SECOND,
+        fixture.settings.reportMode = ReportMode.NEVER;
+        makeLateSavesEarnHalf();
+        fixture.start(fleet(16));
+        long request = fixture.request(SAVE);
+        fixture.advance(SECOND);
+        assertEquals(2, fixture.sendCount(request), "hedged inside the cell");
+        fixture.advance(1_500 * MS);
+        fixture.endAttempt(request, 1, Outcome.REJECTED);
+        fixture.advance(499 * MS);
+        fixture.endAttempt(request, 0, Outcome.RESET);
+        assertEquals(2, fixture.sendCount(request));
+        assertEquals(List.of(request), fixture.actions.failed);
+    }
+
+    /** An attempt may wait for its connection as long as the connect timeout, and the window may end meanwhile. */
+    @Test void retryOfAKeyedRequestLeavesTimeForItsConnection() {
+        makeLateSavesEarnHalf();
+        fixture.settings.connectTimeoutMicros = 300 * MS;
+        fixture.settings.mayHedge = false;
+        fixture.start(fleet(8));
+        long window = fixture.settings.classes.get(SAVE).dedupWindowMicros();
+        long early = fixture.request(SAVE), late = fixture.request(SAVE);
+        fixture.advance(window - 400 * MS);
+        fixture.endAttempt(early, 0, Outcome.RESET);
+        assertEquals(2, fixture.sendCount(early));
+        fixture.advance(200 * MS);
+        fixture.endAttempt(late, 0, Outcome.RESET);
+        assertEquals(1, fixture.sendCount(late), "its connection might open after the window");
+        assertEquals(List.of(late), fixture.actions.failed);
+    }
+
+    /** A request moved to another backend because it did not start would run twice where cancelling stops nothing. */
+    @Test void requestIsNeitherHedgedNorMovedWhereThatIsForbidden() {
+        fixture.settings.mayHedge = false;
+        fixture.start(fleet(8));
+        long request = fixture.request(RENDER);
+        fixture.advance(200 * MS);
+        assertEquals(1, fixture.sendCount(request));
+        assertEquals(List.of(), fixture.actions.cancelled, "it keeps its place in the queue");
+        fixture.endAttempt(request, 0, Outcome.RESET);
+        assertEquals(2, fixture.sendCount(request));
+    }
+
+    @Test void streamThatHasBegunIsNeitherHedgedNorRetried() {
+        fixture.settings.classes.add(new RequestClass("stream", Effect.REPEATABLE, DedupScope.ALL, 300 * MS, 1.5, 5 * SECOND,
             0, 1, 0, -1, true));
-        rig.start(fleet(8));
-        long job = rig.request(3);
-        rig.advance(SECOND);
-        rig.policy.responseStreaming(rig.actions.now, job, 0);
-        rig.endAttempt(job, 0, Outcome.RESET);
-        rig.advance(SECOND);
-        assertEquals(1, rig.sendCount(job));
-    }
-
-    @Test void aRepeatedOutcomeCountsOnce() {
-        rig.settings.reportMode = DispatchPolicy.ReportMode.NEVER;
-        rig.start(fleet(8));
-        long job = rig.request(RENDER);
-        rig.advance(50 * MS);
-        assertEquals(2, rig.sendCount(job), "one is copied");
-        rig.endAttempt(job, 0, Outcome.RESET);
-        rig.advance(SECOND);
-        rig.endAttempt(job, 0, Outcome.SERVED);
-        assertEquals(1, rig.actions.logged.size(), "it was lost and not served: " + rig.actions.logged);
+        fixture.start(fleet(8));
+        long request = fixture.request(3);
+        fixture.advance(SECOND);
+        fixture.policy.responseStreaming(fixture.actions.now, request, 0);
+        fixture.endAttempt(request, 0, Outcome.RESET);
+        fixture.advance(SECOND);
+        assertEquals(1, fixture.sendCount(request));
+    }
+
+    @Test void repeatedOutcomeCountsOnce() {
+        fixture.settings.reportMode = ReportMode.NEVER;
+        fixture.start(fleet(8));
+        long request = fixture.request(RENDER);
+        fixture.advance(50 * MS);
+        assertEquals(2, fixture.sendCount(request), "hedged");
+        fixture.endAttempt(request, 0, Outcome.RESET);
+        fixture.advance(SECOND);
+        fixture.endAttempt(request, 0, Outcome.SERVED);
+        assertEquals(1, fixture.actions.logged.size(), "it was reset and not served: " + fixture.actions.logged);
     }
 
     @Test void nothingIsCancelledOrProbedWhereThatIsForbidden() {
-        rig.settings.mayCancel = false;
-        rig.settings.reportMode = DispatchPolicy.ReportMode.ON_PROBE;
-        rig.start(fleet(4));
-        long job = rig.request(RENDER);
-        rig.advance(SECOND);
-        rig.policy.clientDisconnected(rig.actions.now, job);
-        assertEquals(List.of(), rig.actions.cancelled);
-        assertEquals(List.of(), rig.actions.probed);
-    }
-
-    @Test void attemptsStayWithinTheLimit() {
-        rig.start(fleet(8));
-        long job = rig.request(RENDER);
+        fixture.settings.mayCancel = false;
+        fixture.settings.reportMode = ReportMode.ON_PROBE;
+        fixture.start(fleet(4));
+        long request = fixture.request(RENDER);
+        fixture.advance(SECOND);
+        fixture.policy.clientDisconnected(fixture.actions.now, request);
+        assertEquals(List.of(), fixture.actions.cancelled);
+        assertEquals(List.of(), fixture.actions.probed);
+    }
+
+    @Test void attemptsStayWithinTheirLimit() {
+        fixture.start(fleet(8));
+        long request = fixture.request(RENDER);
         for (int i = 0; i < 6; i++) {
-            rig.endAttempt(job, i, Outcome.REJECTED);
+            fixture.endAttempt(request, i, Outcome.REJECTED);
         }
-        assertEquals(4, rig.sendCount(job));
-        assertEquals(List.of(job), rig.actions.refused);
+        assertEquals(4, fixture.sendCount(request));
+        assertEquals(List.of(request), fixture.actions.refused);
     }
 
-    // ---- Rule 3: drains
+    // ---- Rule 3: draining backends
 
     @ParameterizedTest @EnumSource(value = BackendState.class, names = {"DRAINING", "GONE"})
-    void nothingGoesToAWorkerThatDrainsOrIsGone(BackendState state) {
-        rig.start(fleet(3));
-        rig.listBackends(ListUpdate.DELTA, backend(2, state, 0));
+    void nothingIsSentToABackendThatDrainsOrIsGone(BackendState state) {
+        fixture.start(fleet(3));
+        fixture.listBackends(ListUpdate.DELTA, backend(2, state, 0));
         for (int i = 0; i < 50; i++) {
-            rig.request(RENDER);
-            rig.advance(100 * MS);
+            fixture.request(RENDER);
+            fixture.advance(100 * MS);
         }
-        assertFalse(rig.actions.sends.stream().anyMatch(x -> x.backendId() == 2));
+        assertFalse(fixture.actions.sends.stream().anyMatch(send -> send.backendId() == 2));
     }
 
-    @Test void aWorkerAbsentFromAWholeListIsGoneAndTheListAfterARestartCounts() {
-        rig.start(backend(1, BackendState.DRAINING, 0), backend(2, BackendState.READY, 0),
+    @Test void backendMissingFromAFullListIsGoneAndACachedListCounts() {
+        fixture.start(backend(1, BackendState.DRAINING, 0), backend(2, BackendState.READY, 0),
             backend(3, BackendState.READY, 0));
-        rig.listBackends(ListUpdate.FULL, backend(1, BackendState.DRAINING, 0), backend(3, BackendState.READY, 0));
+        fixture.listBackends(ListUpdate.FULL, backend(1, BackendState.DRAINING, 0), backend(3, BackendState.READY, 0));
         for (int i = 0; i < 30; i++) {
-            rig.request(RENDER);
+            fixture.request(RENDER);
         }
-        assertEquals(Set.of(3L), rig.actions.sends.stream().map(RecordingActions.Send::backendId).collect(Collectors.toSet()));
+        assertEquals(Set.of(3L),
+            fixture.actions.sends.stream().map(RecordingActions.Send::backendId).collect(Collectors.toSet()));
     }
 
-    /** The connection of a job that ended after the notice was left open. */
+    /** The connection of an attempt that ends after the drain notice becomes idle only then. */
     @ParameterizedTest @EnumSource(Outcome.class)
-    void aLaterOutcomeOfADrainingWorkerClosesItsConnectionToo(Outcome outcome) {
-        rig.start(fleet(1));
-        long job = rig.request(PAY);
-        rig.listBackends(ListUpdate.DELTA, backend(1, BackendState.DRAINING, 0));
-        assertEquals(List.of(1L), rig.actions.closedIdle, "at the notice");
-        rig.endAttempt(job, 0, outcome);
-        assertEquals(List.of(1L, 1L), rig.actions.closedIdle);
-    }
-
-    // ---- Rule 4: cold workers
-
-    /** Two slots, a quarter of its capacity, twice that for a second, over two dispatchers. */
-    private double coldWork(int pushes, long run) {
-        rig.start(backend(1, BackendState.READY, 0), backend(2, BackendState.READY, 0));
+    void connectionIsClosedWhenAnAttemptEndsAtADrainingBackend(Outcome outcome) {
+        fixture.start(fleet(1));
+        long request = fixture.request(PAY);
+        fixture.listBackends(ListUpdate.DELTA, backend(1, BackendState.DRAINING, 0));
+        assertEquals(List.of(1L), fixture.actions.closedIdle, "at the drain notice");
+        fixture.endAttempt(request, 0, outcome);
+        assertEquals(List.of(1L, 1L), fixture.actions.closedIdle);
+    }
+
+    // ---- Rule 4: cold backends
+
+    /**
+     * Returns the work sent to a cold backend of 2 slots. It has a quarter of its capacity, and may get twice that for 1 s from
+     * all dispatchers together.
+     */
+    private double workSentToAColdBackend(int requests, long run) {
+        fixture.start(backend(1, BackendState.READY, 0), backend(2, BackendState.READY, 0));
         for (int i = 0; i < 5; i++) {
-            rig.serve(RENDER, run, PolicyFixture.reportOfFreeSlots(2));
+            fixture.serve(RENDER, run, PolicyFixture.reportOfFreeSlots(2));
         }
-        rig.advance(2 * SECOND);
-        rig.listBackends(ListUpdate.DELTA, backend(3, BackendState.READY, rig.actions.now));
-        rig.answerProbe(1, 0);
-        rig.answerProbe(2, 0);
-        rig.answerProbe(3, 2);
-        for (int i = 0; i < pushes; i++) {
-            long job = rig.request(RENDER);
-            rig.endAttempt(job, 0, Outcome.SERVED);
+        fixture.advance(2 * SECOND);
+        fixture.listBackends(ListUpdate.DELTA, backend(3, BackendState.READY, fixture.actions.now));
+        fixture.answerProbe(1, 0);
+        fixture.answerProbe(2, 0);
+        fixture.answerProbe(3, 2);
+        for (int i = 0; i < requests; i++) {
+            long request = fixture.request(RENDER);
+            fixture.endAttempt(request, 0, Outcome.SERVED);
         }
-        return rig.actions.sends.stream().filter(x -> x.backendId() == 3).count() * run;
+        return fixture.actions.sends.stream().filter(send -> send.backendId() == 3).count() * run;
     }
 
-    @Test void coldWorkerGetsNoMoreThanItsBudgetEndedWorkIncluded() {
-        double work = coldWork(60, 50 * MS);
-        assertTrue(work > 0, "small jobs may warm it up");
+    @Test void coldBackendGetsNoMoreThanItsBudgetIncludingEndedWork() {
+        double work = workSentToAColdBackend(60, 50 * MS);
+        assertTrue(work > 0, "small requests may warm it up");
         assertTrue(work <= 2 * 2 * 0.25 * SECOND / 2, "sent " + work);
     }
 
-    /** A worker that has started anew under its id took a window's work again from who had just sent it as much. */
-    @Test void whatWasSentBeforeAStartWasToldCountsAgainstTheBudget() {
-        rig.settings.dispatcherCount = 1;
-        rig.start(backend(3, BackendState.READY, 0));
+    /** A backend that restarts under its id must not get a window's work again from a dispatcher that has just sent it. */
+    @Test void sendsBeforeARestartBecameKnownCountAgainstTheBudget() {
+        fixture.settings.dispatcherCount = 1;
+        fixture.start(backend(3, BackendState.READY, 0));
         for (int i = 0; i < 5; i++) {
-            rig.serve(RENDER, 50 * MS, PolicyFixture.reportOfFreeSlots(2));
+            fixture.serve(RENDER, 50 * MS, PolicyFixture.reportOfFreeSlots(2));
         }
-        rig.advance(2 * SECOND);
-        int before = rig.actions.sends.size();
+        fixture.advance(2 * SECOND);
+        int before = fixture.actions.sends.size();
         for (int i = 0; i < 70; i++) {
             if (i == 10) {
-                rig.listBackends(ListUpdate.DELTA, backend(3, BackendState.READY, rig.actions.now - 1));
+                fixture.listBackends(ListUpdate.DELTA, backend(3, BackendState.READY, fixture.actions.now - 1));
             }
-            rig.endAttempt(rig.request(RENDER), 0, Outcome.SERVED);
+            fixture.endAttempt(fixture.request(RENDER), 0, Outcome.SERVED);
         }
-        assertEquals(10, rig.actions.sends.size() - before, "half of 2 x 2 x 0.25 slots for 1 s");
+        assertEquals(10, fixture.actions.sends.size() - before, "half of 2 x 2 x 0.25 slots for 1 s");
     }
 
-    @Test void aJobLargerThanTheBudgetNeverGoesToAColdWorker() {
-        assertEquals(0, coldWork(60, 700 * MS));
+    @Test void requestLargerThanTheBudgetIsNeverSentToAColdBackend() {
+        assertEquals(0, workSentToAColdBackend(60, 700 * MS));
     }
 
-    @Test void aNewWorkerWithoutAReportMayTakeTheBudgetOfItsKindsSlots() {
-        rig.start(backend(1, BackendState.READY, 0), backend(2, BackendState.READY, 0));
+    @Test void coldBackendWithoutAReportGetsTheBudgetOfItsKind() {
+        fixture.start(backend(1, BackendState.READY, 0), backend(2, BackendState.READY, 0));
         for (int i = 0; i < 5; i++) {
-            rig.serve(RENDER, 200 * MS, PolicyFixture.reportOfFreeSlots(8));
+            fixture.serve(RENDER, 200 * MS, PolicyFixture.reportOfFreeSlots(8));
         }
-        rig.advance(2 * SECOND);
-        rig.listBackends(ListUpdate.DELTA, backend(3, BackendState.READY, rig.actions.now));
-        rig.answerProbe(1, 0);
-        rig.answerProbe(2, 0);
+        fixture.advance(2 * SECOND);
+        fixture.listBackends(ListUpdate.DELTA, backend(3, BackendState.READY, fixture.actions.now));
+        fixture.answerProbe(1, 0);
+        fixture.answerProbe(2, 0);
         for (int i = 0; i < 40; i++) {
-            rig.request(RENDER);
+            fixture.request(RENDER);
         }
-        long sent = rig.actions.sends.stream().filter(x -> x.backendId() == 3).count();
-        assertTrue(sent > 0, "one slot's budget would hold no job of 0.2 s");
+        long sent = fixture.actions.sends.stream().filter(send -> send.backendId() == 3).count();
+        assertTrue(sent > 0, "the budget of one slot would not hold a request of 0.2 s");
         assertTrue(sent <= 5, "half of 2 x 8 x 0.25 slots for 1 s, over two dispatchers: " + sent);
     }
 
-    @Test void theColdBudgetIsSplitOverTheDispatchers() {
-        rig.settings.dispatcherCount = 8;
-        double work = coldWork(60, 20 * MS);
+    @Test void coldBudgetIsDividedAmongTheDispatchers() {
+        fixture.settings.dispatcherCount = 8;
+        double work = workSentToAColdBackend(60, 20 * MS);
         assertTrue(work > 0 && work <= 2 * 2 * 0.25 * SECOND / 8, "sent " + work);
     }
 
-    /** At full size an even part of the budget held no job, and workers that came back stood idle until warm. */
-    @Test void whereAnEvenPartHoldsNoJobSomeDispatchersSendOneEachByTurns() {
+    /** With many dispatchers an even share of the budget holds no request, and cold backends would be idle until warm. */
+    @Test void someDispatchersSendOneRequestEachWhereAnEvenShareHoldsNone() {
         long run = 100 * MS, sent = 0;
         for (int index = 0; index < 40; index++) {
-            rig = new PolicyFixture();
-            rig.settings.dispatcherCount = 40;
-            rig.settings.dispatcherIndex = index;
-            long ours = Math.round(coldWork(60, run)) / run;
-            assertTrue(ours <= 1, "an even part is an eighth of a job, sent " + ours);
+            fixture = new PolicyFixture();
+            fixture.settings.dispatcherCount = 40;
+            fixture.settings.dispatcherIndex = index;
+            long ours = Math.round(workSentToAColdBackend(60, run)) / run;
+            assertTrue(ours <= 1, "an even share is an eighth of a request, sent " + ours);
             sent += ours;
         }
         assertEquals(5, sent, "half of 2 x 2 x 0.25 slots for 1 s, over all dispatchers");
     }
 
-    /** Where starts are not told no run time was ever known, and cold workers stood idle until warm. */
-    @Test void runTimesAreLearntWhereStartsAreNotToldToo() {
-        rig.settings.backendsReportStart = false;
-        rig.start(backend(1, BackendState.READY, 0), backend(2, BackendState.READY, 0));
+    /** Without run times, cold backends would be idle until warm where backends do not report the start. */
+    @Test void runTimesAreLearnedThoughStartsAreNotReported() {
+        fixture.settings.backendsReportStart = false;
+        fixture.start(backend(1, BackendState.READY, 0), backend(2, BackendState.READY, 0));
         for (int i = 0; i < 60; i++) {
-            long job = rig.request(RENDER);
-            rig.advance(50 * MS);
-            rig.endAttempt(job, 0, Outcome.SERVED, PolicyFixture.reportOfFreeSlots(2));
+            long request = fixture.request(RENDER);
+            fixture.advance(50 * MS);
+            fixture.endAttempt(request, 0, Outcome.SERVED, PolicyFixture.reportOfFreeSlots(2));
             if (i == 30) {
-                rig.listBackends(ListUpdate.DELTA, backend(3, BackendState.READY, rig.actions.now));
+                fixture.listBackends(ListUpdate.DELTA, backend(3, BackendState.READY, fixture.actions.now));
             }
         }
-        long sent = rig.actions.sends.stream().filter(x -> x.backendId() == 3).count();
-        assertTrue(sent > 0, "small jobs may warm it up");
+        long sent = fixture.actions.sends.stream().filter(send -> send.backendId() == 3).count();
+        assertTrue(sent > 0, "small requests may warm it up");
         assertTrue(sent * 50 * MS <= 2 * 2 * 0.4 * SECOND, "over two windows: " + sent);
     }
 
-    /** A class that only cold workers may run was never sent to one, as no run of it was ever seen. */
-    @Test void whileRunTimesAreUnknownAColdWorkerGetsOneJobOfAllDispatchersInTwoWindows() {
+    /** A class that only cold backends may run would never be sent, as none of its run times is known. */
+    @Test void coldBackendGetsOneRequestInTwoWindowsWhileRunTimesAreUnknown() {
         int sent = 0;
         for (int index = 0; index < 5; index++) {
-            rig = new PolicyFixture();
-            rig.settings.dispatcherCount = 5;
-            rig.settings.dispatcherIndex = index;
-            rig.start();
-            rig.advance(3 * SECOND);
-            rig.listBackends(ListUpdate.DELTA, backend(2, BackendState.READY, rig.actions.now));
+            fixture = new PolicyFixture();
+            fixture.settings.dispatcherCount = 5;
+            fixture.settings.dispatcherIndex = index;
+            fixture.start();
+            fixture.advance(3 * SECOND);
+            fixture.listBackends(ListUpdate.DELTA, backend(2, BackendState.READY, fixture.actions.now));
             for (int i = 0; i < 190; i++) {
-                rig.request(RENDER);
-                rig.advance(10 * MS);
+                fixture.request(RENDER);
+                fixture.advance(10 * MS);
             }
-            sent += rig.actions.sends.size();
+            sent += fixture.actions.sends.size();
         }
         assertEquals(1, sent);
     }
 
-    /** A dispatcher of a request a second knew no run for its first ten seconds, though each report tells of runs. */
-    @Test void whatWorkersTellOfTheirRunsCountsUntilAJobHasEnded() {
-        rig.settings.dispatcherCount = 1;
-        rig.start(backend(1, BackendState.READY, 0));
-        rig.advance(3 * SECOND);
-        rig.listBackends(ListUpdate.FULL, backend(1, BackendState.DRAINING, 0), backend(2, BackendState.READY, rig.actions.now));
-        DispatchPolicy.LoadReport report = PolicyFixture.reportOfFreeSlots(2);
+    /** A dispatcher with a request per second would know no run time for its first 10 s, though reports contain them. */
+    @Test void reportedRunTimesCountUntilARequestHasEnded() {
+        fixture.settings.dispatcherCount = 1;
+        fixture.start(backend(1, BackendState.READY, 0));
+        fixture.advance(3 * SECOND);
+        fixture.listBackends(ListUpdate.FULL, backend(1, BackendState.DRAINING, 0),
+            backend(2, BackendState.READY, fixture.actions.now));
+        LoadReport report = PolicyFixture.reportOfFreeSlots(2);
         report.recentRunMicros = 50 * MS;
-        rig.policy.probeEnded(rig.actions.now, 1, true, report);
+        fixture.policy.probeEnded(fixture.actions.now, 1, true, report);
         for (int i = 0; i < 50; i++) {
-            rig.request(RENDER);
+            fixture.request(RENDER);
         }
-        long work = rig.actions.sends.size() * 50 * MS;
-        assertTrue(work > 50 * MS && work <= 2 * 2 * 0.25 * SECOND, "sent " + rig.actions.sends.size());
+        long work = fixture.actions.sends.size() * 50 * MS;
+        assertTrue(work > 50 * MS && work <= 2 * 2 * 0.25 * SECOND, "sent " + fixture.actions.sends.size());
     }
 
-    /** A job larger than what all may send in a window was never sent at all. */
-    @Test void aJobThatNoPartHoldsIsSentByOneOfAllInEachSecondWindow() {
+    /** A request larger than what all may send in a window would never be sent otherwise. */
+    @Test void requestLargerThanAnyShareIsSentByOneDispatcherInEverySecondWindow() {
         List<Long> times = new ArrayList<>();
         for (int index = 0; index < 5; index++) {
-            rig = new PolicyFixture();
-            rig.settings.dispatcherCount = 5;
-            rig.settings.dispatcherIndex = index;
-            rig.settings.coldCapacityShare = 0.05;
-            rig.settings.warmUpMicros = 1_000 * SECOND;
-            rig.start(backend(1, BackendState.READY, 0));
-            rig.serve(RENDER, 2 * SECOND, PolicyFixture.reportOfFreeSlots(1));
-            rig.advance(SECOND);
-            rig.listBackends(ListUpdate.FULL, backend(2, BackendState.READY, rig.actions.now));
+            fixture = new PolicyFixture();
+            fixture.settings.dispatcherCount = 5;
+            fixture.settings.dispatcherIndex = index;
+            fixture.settings.coldCapacityShare = 0.05;
+            fixture.settings.warmUpMicros = 1_000 * SECOND;
+            fixture.start(backend(1, BackendState.READY, 0));
+            fixture.serve(RENDER, 2 * SECOND, PolicyFixture.reportOfFreeSlots(1));
+            fixture.advance(SECOND);
+            fixture.listBackends(ListUpdate.FULL, backend(2, BackendState.READY, fixture.actions.now));
             for (int i = 0; i < 1_000; i++) {
-                rig.request(RENDER);
-                rig.advance(10 * MS);
+                fixture.request(RENDER);
+                fixture.advance(10 * MS);
             }
-            for (int at = 0; at < rig.actions.descriptions.size(); at++) {
-                if (rig.actions.descriptions.get(at).matches("send \\d+ 2")) {
-                    times.add(rig.actions.times.get(at));
+            for (int at = 0; at < fixture.actions.descriptions.size(); at++) {
+                if (fixture.actions.descriptions.get(at).matches("send \\d+ 2")) {
+                    times.add(fixture.actions.times.get(at));
                 }
             }
         }
         times.sort(null);
-        assertTrue(times.size() >= 5, "one in two seconds: " + times);
+        assertTrue(times.size() >= 5, "one in two windows: " + times);
         for (int i = 1; i < times.size(); i++) {
-            assertTrue(times.get(i) - times.get(i - 1) >= rig.settings.overloadWindowMicros, "two in one window: " + times);
+            assertTrue(times.get(i) - times.get(i - 1) >= fixture.settings.overloadWindowMicros,
+                "two in one window: " + times);
         }
     }
 
-    @Test void afterOurOwnRestartColdWorkersGetNothingAtFirst() {
-        rig.actions.now = 20 * SECOND;
-        rig.start(backend(1, BackendState.READY, 0), backend(2, BackendState.READY, 0),
+    @Test void coldBackendsGetNothingSoonAfterTheDispatchersStart() {
+        fixture.actions.now = 20 * SECOND;
+        fixture.start(backend(1, BackendState.READY, 0), backend(2, BackendState.READY, 0),
             backend(3, BackendState.READY, 19 * SECOND));
         for (int i = 0; i < 3; i++) {
-            rig.serve(RENDER, 20 * MS, null);
+            fixture.serve(RENDER, 20 * MS, null);
         }
-        rig.answerProbe(3, 8);
+        fixture.answerProbe(3, 8);
         for (int i = 0; i < 30; i++) {
-            rig.endAttempt(rig.request(RENDER), 0, Outcome.SERVED);
+            fixture.endAttempt(fixture.request(RENDER), 0, Outcome.SERVED);
         }
-        assertFalse(rig.actions.sends.stream().anyMatch(x -> x.backendId() == 3));
+        assertFalse(fixture.actions.sends.stream().anyMatch(send -> send.backendId() == 3));
     }
 
-    @Test void aWarmWorkerTakesItsFullShareAgain() {
-        rig.start(fleet(2));
-        rig.serve(RENDER, 50 * MS, PolicyFixture.reportOfFreeSlots(2));
-        rig.listBackends(ListUpdate.DELTA, backend(3, BackendState.READY, rig.actions.now));
-        rig.advance(10 * SECOND);
+    @Test void warmBackendGetsItsFullShareAgain() {
+        fixture.start(fleet(2));
+        fixture.serve(RENDER, 50 * MS, PolicyFixture.reportOfFreeSlots(2));
+        fixture.listBackends(ListUpdate.DELTA, backend(3, BackendState.READY, fixture.actions.now));
+        fixture.advance(10 * SECOND);
         for (int i = 0; i < 12; i++) {
-            rig.request(RENDER);
+            fixture.request(RENDER);
         }
-        assertNotEquals(0, rig.actions.sends.stream().filter(x -> x.backendId() == 3).count());
+        assertNotEquals(0, fixture.actions.sends.stream().filter(send -> send.backendId() == 3).count());
     }
 }
--- a/src/test/java/badgermux/decide/WarmupPropertiesTest.java
+++ b/src/test/java/badgermux/decide/WarmupPropertiesTest.java
@@ -13,14 +13,14 @@
 import net.jqwik.api.constraints.DoubleRange;
 import net.jqwik.api.constraints.IntRange;
 
-/** Rule 4 for the whole fleet: the sum of what all dispatchers send to a cold worker in any window. */
+/** Rule 4 for the whole fleet: a limit on the work that all dispatchers together send to a cold backend in any window. */
 class WarmupPropertiesTest {
     private static final String SEED = "20261202";
     private static final int MAX_DISPATCHERS = 1_024;
-    /** For sums of rounded figures. */
+    /** Relative error of sums of rounded numbers. */
     private static final double ROUNDING_ERROR = 1e-9;
 
-    /** Small fleets are drawn more often, as large ones take a second each. */
+    /** Draws small fleets more often, as large ones take a second each. */
     @Provide Arbitrary<Integer> dispatchers() {
         return Arbitraries.frequency(Tuple.of(4, 1), Tuple.of(4, 2), Tuple.of(4, 5), Tuple.of(10, 14), Tuple.of(14, 30),
             Tuple.of(8, 100));
@@ -28,61 +28,64 @@
 
     private static void assertWithinLimit(WarmupSimulation fleet) {
         fleet.run();
-        assertTrue(fleet.worstLimitRatio <= 1 + ROUNDING_ERROR, "sent " + fleet.worstLimitRatio + " of N + 2 root N + 2");
+        assertTrue(fleet.worstLimitRatio <= 1 + ROUNDING_ERROR,
+            "sent " + fleet.worstLimitRatio + " of N + 2 * sqrt(N) + 2");
     }
 
     /**
-     * The shares by themselves. A dispatcher's last send in a window of any place keeps to the share of its rank then; its
-     * rank is that of one of two neighbouring windows, and falls by one between them. In one of the two a job goes alone.
+     * A sliding window overlaps two successive windows, between which each rank falls by one. A dispatcher's last send in it
+     * stays within the share of its rank at that time. In one of the two windows a large request may be sent alone.
      */
     @Property(seed = SEED, tries = 2_000)
-    void sharesOfTwoNeighbouringWindowsAddUpToTheLimit(@ForAll @DoubleRange(max = 500) double n,
-            @ForAll @IntRange(min = 1, max = 1_024) int dispatchers, @ForAll boolean aloneInTheFirst) {
-        double alone = DefaultDispatchPolicy.coldBudgetShare(n, -1, dispatchers);
+    void sharesOfTwoSuccessiveWindowsStayWithinTheLimit(@ForAll @DoubleRange(max = 500) double n,
+            @ForAll @IntRange(min = 1, max = 1_024) int dispatchers, @ForAll boolean largeInTheFirst) {
+        double large = DefaultDispatchPolicy.coldBudgetShare(n, -1, dispatchers);
         double sum = 0;
         for (int rank = 0; rank < dispatchers; rank++) {
             int next = Math.floorMod(rank - 1, dispatchers);
             double first = DefaultDispatchPolicy.coldBudgetShare(n, rank, dispatchers);
             double second = DefaultDispatchPolicy.coldBudgetShare(n, next, dispatchers);
-            boolean goesAlone = (aloneInTheFirst ? rank : next) == 0;
-            sum += Math.max(Math.max(first, second), goesAlone ? alone : 0);
+            boolean sendsLarge = (largeInTheFirst ? rank : next) == 0;
+            sum += Math.max(Math.max(first, second), sendsLarge ? large : 0);
         }
         assertTrue(sum <= (n + 2 * Math.sqrt(n) + 2) * (1 + ROUNDING_ERROR), n + ", " + dispatchers + ": " + sum);
-        assertTrue(alone >= 1 && DefaultDispatchPolicy.coldBudgetShare(n, 0, dispatchers) > 0, "a mean job goes, alone or by rank");
+        assertTrue(large >= 1 && DefaultDispatchPolicy.coldBudgetShare(n, 0, dispatchers) > 0,
+            "a request of mean work may be sent, alone or within a share");
     }
 
-    /** What has been sent by a share stays within it while the worker warms up. */
+    /** As the backend warms up, what was sent within a share must stay within it. */
     @Property(seed = SEED, tries = 1_000)
-    void sharesGrowWithWhatIsAllowed(@ForAll @DoubleRange(max = 500) double n, @ForAll @DoubleRange(max = 50) double more,
+    void sharesGrowWithTheAllowedWork(@ForAll @DoubleRange(max = 500) double n, @ForAll @DoubleRange(max = 50) double more,
             @ForAll @IntRange(min = 1, max = 1_024) int dispatchers, @ForAll @IntRange(min = -1, max = 1_023) int rank) {
         double before = DefaultDispatchPolicy.coldBudgetShare(n, Math.min(rank, dispatchers - 1), dispatchers);
         double after = DefaultDispatchPolicy.coldBudgetShare(n + more, Math.min(rank, dispatchers - 1), dispatchers);
-        assertTrue(after >= before * (1 - ROUNDING_ERROR), n + " and " + more + ", " + dispatchers + ": " + before + ", " + after);
+        assertTrue(after >= before * (1 - ROUNDING_ERROR),
+            n + " and " + more + ", " + dispatchers + ": " + before + ", " + after);
     }
 
     @Property(seed = SEED, tries = 60, shrinking = ShrinkingMode.OFF)
-    void fleetsKeepToTheLimit(@ForAll("dispatchers") int dispatchers, @ForAll long seed) {
+    void fleetsStayWithinTheLimit(@ForAll("dispatchers") int dispatchers, @ForAll long seed) {
         assertWithinLimit(new WarmupSimulation(seed, dispatchers, Restarts.NONE, true));
     }
 
     @Property(seed = SEED, tries = 30, shrinking = ShrinkingMode.OFF)
-    void soDoFleetsInWhichSomeHandOverToTheNextProcess(@ForAll("dispatchers") int dispatchers, @ForAll long seed) {
+    void fleetsWithHandoversStayWithinTheLimit(@ForAll("dispatchers") int dispatchers, @ForAll long seed) {
         assertWithinLimit(new WarmupSimulation(seed, dispatchers, Restarts.HANDED_OVER, true));
     }
 
     @Property(seed = SEED, tries = 30, shrinking = ShrinkingMode.OFF)
-    void soDoFleetsInWhichSomeAreKilled(@ForAll("dispatchers") int dispatchers, @ForAll long seed) {
+    void fleetsWithKilledDispatchersStayWithinTheLimit(@ForAll("dispatchers") int dispatchers, @ForAll long seed) {
         assertWithinLimit(new WarmupSimulation(seed, dispatchers, Restarts.KILLED, true));
     }
 
-    /** Who knows no run can't tell long jobs from short ones: here all run alike. */
+    /** A dispatcher without run times cannot tell long requests from short ones, so all have the same run time here. */
     @Property(seed = SEED, tries = 30, shrinking = ShrinkingMode.OFF)
-    void soDoFleetsInWhichSomeForgetAll(@ForAll("dispatchers") int dispatchers, @ForAll long seed) {
+    void fleetsWithLostStateStayWithinTheLimit(@ForAll("dispatchers") int dispatchers, @ForAll long seed) {
         assertWithinLimit(new WarmupSimulation(seed, dispatchers, Restarts.STATE_LOST, false));
     }
 
     @Property(seed = SEED, tries = 2, shrinking = ShrinkingMode.OFF)
-    void soDoTheLargestFleets(@ForAll long seed) {
+    void largestFleetsStayWithinTheLimit(@ForAll long seed) {
         for (Restarts restarts : new Restarts[] {Restarts.NONE, Restarts.KILLED}) {
             WarmupSimulation fleet = new WarmupSimulation(seed, MAX_DISPATCHERS, restarts, true);
             assertWithinLimit(fleet);
--- a/src/test/java/badgermux/decide/WarmupSimulation.java
+++ b/src/test/java/badgermux/decide/WarmupSimulation.java
@@ -1,16 +1,16 @@
 package badgermux.decide;
 
 import badgermux.decide.DispatchPolicy.Actions;
+import badgermux.decide.DispatchPolicy.Backend;
+import badgermux.decide.DispatchPolicy.BackendState;
+import badgermux.decide.DispatchPolicy.DedupScope;
 import badgermux.decide.DispatchPolicy.Effect;
 import badgermux.decide.DispatchPolicy.LearnedState;
-import badgermux.decide.DispatchPolicy.Request;
-import badgermux.decide.DispatchPolicy.RequestClass;
 import badgermux.decide.DispatchPolicy.ListUpdate;
 import badgermux.decide.DispatchPolicy.Outcome;
-import badgermux.decide.DispatchPolicy.DedupScope;
+import badgermux.decide.DispatchPolicy.Request;
+import badgermux.decide.DispatchPolicy.RequestClass;
 import badgermux.decide.DispatchPolicy.Settings;
-import badgermux.decide.DispatchPolicy.Backend;
-import badgermux.decide.DispatchPolicy.BackendState;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -20,26 +20,32 @@
 import java.util.Random;
 
 /**
- * A whole fleet of dispatchers in virtual time, in front of workers that have just started and are all that there is: what
- * may be sent to a cold worker is sent. Everything is drawn from one seed: settings, how long jobs run, when each dispatcher
- * is told of the starts, bursts at any time and around the ends of windows, calm spells, restarts. Times are microseconds.
+ * Simulates a fleet of dispatchers whose backends have all just started, so that everything that may be sent to a cold backend
+ * is sent. One seed determines the settings, the run times, when each dispatcher learns of the starts, bursts of requests at
+ * any time and around the ends of windows, calm periods and restarts of dispatchers. Times are microseconds of virtual time.
  */
 final class WarmupSimulation {
-    private static final long SECOND = 1_000_000, LATEST_NEWS = 6 * SECOND;
-    private static final int CLASSES = 3, MOST_WORKERS = 24, WINDOWS = 7, MOST_BURSTS = 8;
+    private static final long SECOND = 1_000_000;
+    /** Latest time after the start of the backends at which a dispatcher learns of it. */
+    private static final long MAX_PROPAGATION = 6 * SECOND;
+    private static final int CLASSES = 3;
+    private static final int MAX_BACKENDS = 24;
+    /** Simulated overload windows. */
+    private static final int WINDOWS = 7;
+    private static final int MAX_BURSTS = 8;
 
-    /** How a dispatcher of the fleet is started anew. */
+    /** How dispatchers restart: with the learned state, without its recent sends, or without any of it. */
     enum Restarts { NONE, HANDED_OVER, KILLED, STATE_LOST }
 
-    private record Event(long at, int order, Runnable what) { }
+    private record Event(long at, int order, Runnable task) { }
 
-    private record Sent(long at, double work) { }
+    private record CountedSend(long at, double work) { }
 
-    /** A worker, and the work that came from dispatchers which had been told of its start. */
+    /** A backend, and the work that it got in the last window from dispatchers that knew of its start. */
     private static final class ColdBackend {
         final long id;
-        final Deque<Sent> lately = new ArrayDeque<>();
-        double sum;
+        final Deque<CountedSend> recentSends = new ArrayDeque<>();
+        double recentWork;
 
         ColdBackend(long id) {
             this.id = id;
@@ -56,74 +62,78 @@
             this.index = index;
         }
 
-        void start(LearnedState left) {
+        /** Starts a process, with learned state unless {@code state} is null. */
+        void start(LearnedState state) {
             processNumber++;
-            Settings own = settings();
-            own.dispatcherIndex = index;
-            policy = new DefaultDispatchPolicy(own, random.nextLong(), this);
-            policy.backendsListed(now, ListUpdate.FULL, list());
-            if (left != null) {
-                policy.importLearnedState(left);
+            Settings settings = settings();
+            settings.dispatcherIndex = index;
+            policy = new DefaultDispatchPolicy(settings, random.nextLong(), this);
+            policy.backendsListed(now, ListUpdate.FULL, knownBackends());
+            if (state != null) {
+                policy.importLearnedState(state);
             }
         }
 
-        private List<Backend> list() {
+        private List<Backend> knownBackends() {
             if (now < startKnownAt && !listedBefore) {
                 return List.of();
             }
-            return workers.stream().map(w -> new Backend(w.id, 0, 0, 0, BackendState.READY, now < startKnownAt ? 0 : startedAt)).toList();
+            return backends.stream()
+                .map(cold -> new Backend(cold.id, 0, 0, 0, BackendState.READY, now < startKnownAt ? 0 : startedAt)).toList();
         }
 
         void learnStart() {
             startKnownAt = now;
-            policy.backendsListed(now, ListUpdate.FULL, list());
+            policy.backendsListed(now, ListUpdate.FULL, knownBackends());
         }
 
-        void burst(int jobs, int jobClass) {
-            for (int i = 0; i < jobs; i++) {
-                // The longest first: who is first in turn spends most, and others what still fits.
-                Request job = new Request(nextJob++, jobClass < 0 ? i * CLASSES / jobs : jobClass, 0, 1, 0, 3 * window);
-                classOf.add(job.classIndex());
+        /** Receives requests of one class, or of all classes if {@code classIndex} is negative. */
+        void receiveBurst(int requests, int classIndex) {
+            for (int i = 0; i < requests; i++) {
+                // The longest come first: the dispatcher of the first rank spends most, and the others what still fits.
+                Request request = new Request(nextRequestId++,
+                    classIndex < 0 ? i * CLASSES / requests : classIndex, 0, 1, 0, 3 * window);
+                classOf.add(request.classIndex());
                 attempts.add(0);
-                policy.requestReceived(now, job);
+                policy.requestReceived(now, request);
             }
         }
 
-        @Override public void send(long job, long worker) {
-            int attempt = attempts.get((int) job);
-            attempts.set((int) job, attempt + 1);
+        @Override public void send(long requestId, long backendId) {
+            int attempt = attempts.get((int) requestId);
+            attempts.set((int) requestId, attempt + 1);
             sendCount++;
             if (now >= startKnownAt) {
-                countWork(worker, runs[classOf.get((int) job)]);
+                countWork(backendId, runs[classOf.get((int) requestId)]);
             }
-            int mine = processNumber;
+            int sendingProcess = processNumber;
             if (random.nextInt(3) == 0) {
                 scheduleAt(now + 1 + random.nextInt(50_000), () -> {
-                    if (mine == processNumber) {
-                        policy.attemptEnded(now, job, attempt, worker, Outcome.REJECTED, false, null);
+                    if (sendingProcess == processNumber) {
+                        policy.attemptEnded(now, requestId, attempt, backendId, Outcome.REJECTED, false, null);
                     }
                 });
             }
         }
 
-        @Override public void startTimer(long delay, int token) {
-            int mine = processNumber;
-            scheduleAt(now + delay, () -> {
-                if (mine == processNumber) {
+        @Override public void startTimer(long delayMicros, int token) {
+            int sendingProcess = processNumber;
+            scheduleAt(now + delayMicros, () -> {
+                if (sendingProcess == processNumber) {
                     policy.timerFired(now, token);
                 }
             });
         }
 
-        @Override public void refuse(long job, long comeBack) { }
+        @Override public void refuse(long requestId, long retryAfterMicros) { }
 
-        @Override public void fail(long job) { }
+        @Override public void fail(long requestId) { }
 
-        @Override public void cancel(long job, int attempt) { }
+        @Override public void cancel(long requestId, int attemptNumber) { }
 
-        @Override public void probe(long worker) { }
+        @Override public void probe(long backendId) { }
 
-        @Override public void closeIdleConnections(long worker) { }
+        @Override public void closeIdleConnections(long backendId) { }
 
         @Override public void watchBackendList() { }
 
@@ -133,49 +143,53 @@
     private final Random random;
     private final int dispatchers;
     private final Restarts restarts;
-    private final double allowedJobs;
+    private final double allowedRequests;
     private final int slots;
-    /** How long jobs of each class run, the longest first. */
+    /** Run time of each class, the longest first. */
     private final double[] runs = new double[CLASSES];
     private final long window;
-    private final long coldFor;
-    private final double coldShare;
-    private final double multiple;
+    private final long warmUp;
+    private final double coldCapacityShare;
+    private final double overloadMultiple;
+    /** Whether dispatchers that do not know of the start have the backends in their lists as warm ones. */
     private final boolean listedBefore;
     private final PriorityQueue<Event> events =
         new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : a.order - b.order);
-    private final List<SimulatedDispatcher> members = new ArrayList<>();
-    private final List<ColdBackend> workers = new ArrayList<>();
+    private final List<SimulatedDispatcher> fleet = new ArrayList<>();
+    private final List<ColdBackend> backends = new ArrayList<>();
+    /** Class of each request, by its id. */
     private final List<Integer> classOf = new ArrayList<>();
+    /** Number of attempts of each request, by its id. */
     private final List<Integer> attempts = new ArrayList<>();
     private long now = 1_000 * SECOND;
     private long startedAt;
-    private long nextJob;
+    private long nextRequestId;
     private int order;
-    private double mean;
-    /** The most work that came to a worker in any window, against N + 2 root N + 2 jobs of mean work. */
+    /** Mean run time that the dispatchers have learned. */
+    private double meanRun;
+    /** Most work that a backend got in any window, in relation to N + 2 * sqrt(N) + 2 requests of mean work. */
     double worstLimitRatio;
-    /** How much was sent in all. */
+    /** Attempts that were sent in all. */
     int sendCount;
 
     /**
-     * Draws a fleet.
+     * Draws the settings of a fleet.
      *
-     * @param mixed whether classes differ in how long they run
+     * @param mixed whether the classes have different run times
      */
     WarmupSimulation(long seed, int dispatchers, Restarts restarts, boolean mixed) {
         this.dispatchers = dispatchers;
         this.restarts = restarts;
         random = new Random(seed);
-        multiple = 2 + random.nextDouble();
+        overloadMultiple = 2 + random.nextDouble();
         window = SECOND / 2 + random.nextInt((int) (SECOND * 3 / 2));
-        coldFor = 5 * SECOND + random.nextInt((int) (25 * SECOND));
-        coldShare = 0.05 + 0.55 * random.nextDouble();
+        warmUp = 5 * SECOND + random.nextInt((int) (25 * SECOND));
+        coldCapacityShare = 0.05 + 0.55 * random.nextDouble();
         slots = 1 + random.nextInt(16);
-        allowedJobs = Math.exp(Math.log(0.1) + random.nextDouble() * Math.log(600));
+        allowedRequests = Math.exp(Math.log(0.1) + random.nextDouble() * Math.log(600));
         listedBefore = random.nextBoolean();
         for (int c = 0; c < CLASSES; c++) {
-            runs[c] = multiple * window * slots * coldShare / allowedJobs;
+            runs[c] = overloadMultiple * window * slots * coldCapacityShare / allowedRequests;
             runs[c] *= mixed ? Math.exp(3 * random.nextDouble() - 2) : 1;
         }
         Arrays.sort(runs);
@@ -184,81 +198,81 @@
             runs[c] = runs[CLASSES - 1 - c];
             runs[CLASSES - 1 - c] = shorter;
         }
-        int count = 1 + random.nextInt(dispatchers > 100 ? MOST_WORKERS / 4 : MOST_WORKERS);
+        int count = 1 + random.nextInt(dispatchers > 100 ? MAX_BACKENDS / 4 : MAX_BACKENDS);
         for (int i = 0; i < count; i++) {
-            workers.add(new ColdBackend(random.nextLong()));
+            backends.add(new ColdBackend(random.nextLong()));
         }
     }
 
-    /** Plays some windows from the workers' start on. */
+    /** Simulates {@link #WINDOWS} windows from the start of the backends on. */
     void run() {
         LearnedState known = learnedState();
-        mean = known.statistics()[0];
+        meanRun = known.statistics()[0];
         startedAt = now + window;
         for (int i = 0; i < dispatchers; i++) {
-            SimulatedDispatcher member = new SimulatedDispatcher(i);
-            members.add(member);
-            member.start(known);
-            scheduleAt(startedAt + random.nextLong(Math.min(LATEST_NEWS, 2 * window)), member::learnStart);
+            SimulatedDispatcher dispatcher = new SimulatedDispatcher(i);
+            fleet.add(dispatcher);
+            dispatcher.start(known);
+            scheduleAt(startedAt + random.nextLong(Math.min(MAX_PROPAGATION, 2 * window)), dispatcher::learnStart);
         }
         long end = startedAt + WINDOWS * window;
-        // After a calm spell dispatchers have used less than they might, and have more turns.
+        // After a calm period dispatchers have used little of their allowance, and may send more.
         int calm = random.nextInt(WINDOWS);
-        int bursts = 1 + random.nextInt(MOST_BURSTS);
+        int bursts = 1 + random.nextInt(MAX_BURSTS);
         for (int i = 0; i < bursts; i++) {
-            burst(calm + random.nextInt(WINDOWS - calm));
+            scheduleBurst(calm + random.nextInt(WINDOWS - calm));
         }
         for (int i = 0; restarts != Restarts.NONE && i < Math.max(1, dispatchers / 3); i++) {
-            SimulatedDispatcher member = members.get(random.nextInt(dispatchers));
-            scheduleAt(startedAt + random.nextLong(WINDOWS * window), () -> restart(member, known));
+            SimulatedDispatcher dispatcher = fleet.get(random.nextInt(dispatchers));
+            scheduleAt(startedAt + random.nextLong(WINDOWS * window), () -> restart(dispatcher, known));
         }
         while (!events.isEmpty() && events.peek().at <= end) {
             Event event = events.poll();
             now = event.at;
-            event.what.run();
+            event.task.run();
         }
     }
 
-    /** Jobs at most dispatchers around the end of a window, within a moment or a longer while. */
-    private void burst(int after) {
-        long edge = startedAt + after * window;
+    /** Schedules requests at most dispatchers around the end of a window, close together or spread. */
+    private void scheduleBurst(int windowNumber) {
+        long edge = startedAt + windowNumber * window;
         long spread = 1 + random.nextLong(random.nextBoolean() ? 1_000 : window);
-        int jobs = 1 + random.nextInt(dispatchers > 100 ? 4 : 12);
-        int jobClass = random.nextInt(CLASSES + 1) - 1;
-        for (SimulatedDispatcher member : members) {
+        int requests = 1 + random.nextInt(dispatchers > 100 ? 4 : 12);
+        int classIndex = random.nextInt(CLASSES + 1) - 1;
+        for (SimulatedDispatcher dispatcher : fleet) {
             long at = edge + random.nextLong(2 * spread) - spread;
             if (random.nextInt(5) > 0) {
-                scheduleAt(Math.max(now, at), () -> member.burst(jobs, jobClass));
+                scheduleAt(Math.max(now, at), () -> dispatcher.receiveBurst(requests, classIndex));
             }
         }
     }
 
-    private void restart(SimulatedDispatcher member, LearnedState known) {
-        LearnedState left = member.policy.exportLearnedState();
+    private void restart(SimulatedDispatcher dispatcher, LearnedState known) {
+        LearnedState exported = dispatcher.policy.exportLearnedState();
         switch (restarts) {
-            case HANDED_OVER -> member.start(left);
-            case KILLED -> member.start(new LearnedState(known.statistics(), null));
-            default -> member.start(null);
+            case HANDED_OVER -> dispatcher.start(exported);
+            case KILLED -> dispatcher.start(new LearnedState(known.statistics(), null));
+            default -> dispatcher.start(null);
         }
     }
 
-    private void scheduleAt(long at, Runnable what) {
-        events.add(new Event(at, order++, what));
+    private void scheduleAt(long at, Runnable task) {
+        events.add(new Event(at, order++, task));
     }
 
-    /** What a dispatcher knows that has served each class for a while at workers of this size. */
+    /** Returns the state of a dispatcher that has served each class for a while at backends of this size. */
     private LearnedState learnedState() {
-        PolicyFixture rig = new PolicyFixture();
-        settings().classes.forEach(of -> rig.settings.classes.add(of));
-        rig.settings.classes.subList(0, rig.settings.classes.size() - CLASSES).clear();
-        rig.settings.dispatcherCount = dispatchers;
-        rig.settings.kindCount = 1;
-        rig.start(PolicyFixture.backend(1, BackendState.READY, 0));
-        rig.answerProbe(1, slots);
+        PolicyFixture fixture = new PolicyFixture();
+        settings().classes.forEach(type -> fixture.settings.classes.add(type));
+        fixture.settings.classes.subList(0, fixture.settings.classes.size() - CLASSES).clear();
+        fixture.settings.dispatcherCount = dispatchers;
+        fixture.settings.kindCount = 1;
+        fixture.start(PolicyFixture.backend(1, BackendState.READY, 0));
+        fixture.answerProbe(1, slots);
         for (int i = 0; i < 10 * CLASSES; i++) {
-            rig.serve(i % CLASSES, Math.round(runs[i % CLASSES]), PolicyFixture.reportOfFreeSlots(slots));
+            fixture.serve(i % CLASSES, Math.round(runs[i % CLASSES]), PolicyFixture.reportOfFreeSlots(slots));
         }
-        return rig.policy.exportLearnedState();
+        return fixture.policy.exportLearnedState();
     }
 
     private Settings settings() {
@@ -269,29 +283,30 @@
         s.mayHedge = true;
         s.maxAttempts = 4;
         s.backendsReportStart = true;
-        s.coldCapacityShare = coldShare;
-        s.warmUpMicros = coldFor;
-        s.overloadMultiple = multiple;
+        s.coldCapacityShare = coldCapacityShare;
+        s.warmUpMicros = warmUp;
+        s.overloadMultiple = overloadMultiple;
         s.overloadWindowMicros = window;
         for (int c = 0; c < CLASSES; c++) {
-            s.classes.add(new RequestClass("class " + c, Effect.REPEATABLE, DedupScope.ALL, 100 * SECOND, 1.5, 3 * window, 0, 1, 0,
-                null, null, false));
+            s.classes.add(new RequestClass("class " + c, Effect.REPEATABLE, DedupScope.ALL, 100 * SECOND, 1.5, 3 * window, 0,
+                1, 0, null, null, false));
         }
         return s;
     }
 
-    private void countWork(long worker, double work) {
-        ColdBackend at = workers.stream().filter(w -> w.id == worker).findFirst().orElseThrow();
-        if (now - startedAt >= coldFor) {
+    /** Adds work to a backend's sum over the last window and updates the worst ratio. */
+    private void countWork(long backendId, double work) {
+        ColdBackend cold = backends.stream().filter(each -> each.id == backendId).findFirst().orElseThrow();
+        if (now - startedAt >= warmUp) {
             return;
         }
-        at.lately.add(new Sent(now, work));
-        at.sum += work;
-        while (at.lately.peek().at <= now - window) {
-            at.sum -= at.lately.poll().work;
+        cold.recentSends.add(new CountedSend(now, work));
+        cold.recentWork += work;
+        while (cold.recentSends.peek().at <= now - window) {
+            cold.recentWork -= cold.recentSends.poll().work;
         }
-        double warmth = coldShare + (1 - coldShare) * (now - startedAt) / coldFor;
-        double n = multiple * window * slots * warmth / mean;
-        worstLimitRatio = Math.max(worstLimitRatio, at.sum / mean / (n + 2 * Math.sqrt(n) + 2));
+        double warmth = coldCapacityShare + (1 - coldCapacityShare) * (now - startedAt) / warmUp;
+        double n = overloadMultiple * window * slots * warmth / meanRun;
+        worstLimitRatio = Math.max(worstLimitRatio, cold.recentWork / meanRun / (n + 2 * Math.sqrt(n) + 2));
     }
 }
--- a/src/test/java/badgermux/decide/WatchTimingTest.java
+++ b/src/test/java/badgermux/decide/WatchTimingTest.java
@@ -1,11 +1,11 @@
 package badgermux.decide;
 
-import static badgermux.decide.WatchTiming.MAX_STALE_REVISIONS_MICROS;
 import static badgermux.decide.WatchTiming.CONNECT_TIMEOUT_MICROS;
-import static badgermux.decide.WatchTiming.MAX_RETRY_PAUSE_MICROS;
 import static badgermux.decide.WatchTiming.MAX_JITTER_FACTOR;
-import static badgermux.decide.WatchTiming.RECOVERY_TIMEOUT_MICROS;
 import static badgermux.decide.WatchTiming.MAX_PROPAGATION_MICROS;
+import static badgermux.decide.WatchTiming.MAX_RETRY_PAUSE_MICROS;
+import static badgermux.decide.WatchTiming.MAX_STALE_REVISIONS_MICROS;
+import static badgermux.decide.WatchTiming.RECOVERY_TIMEOUT_MICROS;
 import static badgermux.decide.WatchTiming.WATCH_TIMEOUT_MICROS;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -16,61 +16,63 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
+/** The pauses between failed calls to discovery, and the sums in the documentation of {@link WatchTiming}. */
 class WatchTimingTest {
-    /** What every sum leaves for the answer that comes in the end, and for a slow core. */
-    private static final long LEFT = 750_000;
+    /** What every sum has to leave for the answer itself and for a slow processor. */
+    private static final long RESERVE_MICROS = 750_000;
 
-    /** The longest pause between the failures of the module, as it draws it, at any setting. */
-    private static long longestPause(int askEveryMillis, int failures) {
-        PolicyFixture rig = new PolicyFixture();
-        rig.settings.listPushed = false;
-        rig.settings.maxWatchIntervalMicros = askEveryMillis * PolicyFixture.MS;
-        rig.start(PolicyFixture.fleet(1));
+    /** Returns the longest pause that the policy makes after a number of successive failures, with its jitter. */
+    private static long longestPause(int maxWatchIntervalMillis, int failures) {
+        PolicyFixture fixture = new PolicyFixture();
+        fixture.settings.listPushed = false;
+        fixture.settings.maxWatchIntervalMicros = maxWatchIntervalMillis * PolicyFixture.MS;
+        fixture.start(PolicyFixture.fleet(1));
         long longest = 0;
         for (int i = 0; i < failures; i++) {
-            rig.listBackends(ListUpdate.FAILED);
-            long before = rig.actions.now;
-            for (int watches = rig.actions.watchCount; rig.actions.watchCount == watches;) {
-                rig.advance(10 * PolicyFixture.MS);
+            fixture.listBackends(ListUpdate.FAILED);
+            long failedAt = fixture.actions.now;
+            for (int watches = fixture.actions.watchCount; fixture.actions.watchCount == watches;) {
+                fixture.advance(10 * PolicyFixture.MS);
             }
-            longest = Math.max(longest, rig.actions.now - before);
+            longest = Math.max(longest, fixture.actions.now - failedAt);
         }
         return longest;
     }
 
-    @Property(tries = 100) void noPauseIsLongerThanTheSumsAllow(@ForAll @IntRange(min = 100, max = 60_000) int askEveryMillis,
+    @Property(tries = 100)
+    void pausesStayWithinTheirLimit(@ForAll @IntRange(min = 100, max = 60_000) int maxWatchIntervalMillis,
             @ForAll @IntRange(min = 1, max = 20) int failures) {
-        long pause = longestPause(askEveryMillis, failures);
+        long pause = longestPause(maxWatchIntervalMillis, failures);
         assertTrue(pause <= MAX_RETRY_PAUSE_MICROS * MAX_JITTER_FACTOR + 10 * PolicyFixture.MS, pause + " us");
     }
 
-    /** All watches break together: the calls after it are spread over a longest pause, and do not come together. */
-    @Test void pausesDifferFromFailureToFailure() {
-        PolicyFixture rig = new PolicyFixture();
-        rig.settings.listPushed = false;
-        rig.start(PolicyFixture.fleet(1));
-        long least = Long.MAX_VALUE, most = 0;
+    /** When the watches of all dispatchers fail together, jitter keeps their next calls from coming together. */
+    @Test void jitterSpreadsThePauses() {
+        PolicyFixture fixture = new PolicyFixture();
+        fixture.settings.listPushed = false;
+        fixture.start(PolicyFixture.fleet(1));
+        long shortest = Long.MAX_VALUE, longest = 0;
         for (int i = 0; i < 50; i++) {
-            rig.listBackends(ListUpdate.FAILED);
-            long before = rig.actions.now;
-            for (int watches = rig.actions.watchCount; rig.actions.watchCount == watches;) {
-                rig.advance(10 * PolicyFixture.MS);
+            fixture.listBackends(ListUpdate.FAILED);
+            long failedAt = fixture.actions.now;
+            for (int watches = fixture.actions.watchCount; fixture.actions.watchCount == watches;) {
+                fixture.advance(10 * PolicyFixture.MS);
             }
             if (i > 1) {
-                least = Math.min(least, rig.actions.now - before);
-                most = Math.max(most, rig.actions.now - before);
+                shortest = Math.min(shortest, fixture.actions.now - failedAt);
+                longest = Math.max(longest, fixture.actions.now - failedAt);
             }
         }
-        assertTrue(most - least > MAX_RETRY_PAUSE_MICROS * 0.8, least + " to " + most + " us");
+        assertTrue(longest - shortest > MAX_RETRY_PAUSE_MICROS * 0.8, shortest + " to " + longest + " us");
     }
 
-    @Test void aChangeArrivesInTimeWhateverHappenedBefore() {
+    @Test void worstCaseSumsStayWithinThePropagationLimit() {
         long pause = (long) (MAX_RETRY_PAUSE_MICROS * MAX_JITTER_FACTOR);
         long first = (long) (WatchTiming.nextRetryPauseMicros(PolicyFixture.SECOND / 4, Long.MAX_VALUE) * MAX_JITTER_FACTOR);
-        long[] sums = {WATCH_TIMEOUT_MICROS + first, RECOVERY_TIMEOUT_MICROS + pause + pause, CONNECT_TIMEOUT_MICROS + pause + pause,
-            pause + RECOVERY_TIMEOUT_MICROS + pause, first + MAX_STALE_REVISIONS_MICROS + pause};
+        long[] sums = {WATCH_TIMEOUT_MICROS + first, RECOVERY_TIMEOUT_MICROS + pause + pause,
+            CONNECT_TIMEOUT_MICROS + pause + pause, pause + RECOVERY_TIMEOUT_MICROS + pause, first + MAX_STALE_REVISIONS_MICROS + pause};
         for (long sum : sums) {
-            assertTrue(sum <= MAX_PROPAGATION_MICROS - LEFT, sum + " us");
+            assertTrue(sum <= MAX_PROPAGATION_MICROS - RESERVE_MICROS, sum + " us");
         }
         assertEquals(750_000, first);
     }
