--- a/src/main/java/badgermux/decide/DefaultDispatchPolicy.java
+++ b/src/main/java/badgermux/decide/DefaultDispatchPolicy.java
@@ -1056,7 +1056,7 @@
             ? Math.min(16 * FIRST_EJECTION_MICROS, 2 * backend.ejectionMicros) : FIRST_EJECTION_MICROS;
         backend.suspect = true;
         backend.ejectedUntil = now + backend.ejectionMicros;
-        logBackend(backend, "set aside: " + reason);
+        logBackend(backend, "ejected: " + reason);
     }
 
     /** Updates the averages of run times by an attempt that was served. */
@@ -1230,6 +1230,6 @@
 
     private void logBackend(BackendStatus backend, String line) {
         if (loggedLines++ < MAX_LOG_LINES)
-            actions.log("worker " + Long.toHexString(backend.entry.id()) + ' ' + line);
+            actions.log("backend " + Long.toHexString(backend.entry.id()) + ' ' + line);
     }
 }
