--- a/src/bench/capacity/java/badgermux/capacity/Page.java
+++ b/src/bench/capacity/java/badgermux/capacity/CapacityPage.java
@@ -3,19 +3,19 @@
 import java.util.Map;
 
 /** The capacity page: text by hand, and between markers the tables that the program prints. */
-public final class Page {
-    private Page() { }
+public final class CapacityPage {
+    private CapacityPage() { }
 
     /** The page's text with these tables between their markers; an exception that names a marker that it lacks. */
-    public static String with(String page, Map<String, String> tables) {
+    public static String replaceTables(String page, Map<String, String> tables) {
         String text = page;
         for (Map.Entry<String, String> table : tables.entrySet()) {
-            text = replaced(text, table.getKey(), table.getValue());
+            text = replaceTable(text, table.getKey(), table.getValue());
         }
         return text;
     }
 
-    private static String replaced(String text, String name, String table) {
+    private static String replaceTable(String text, String name, String table) {
         String from = "<!-- table " + name + " -->\n", to = "<!-- end " + name + " -->\n";
         int start = text.indexOf(from), end = text.indexOf(to);
         if (start < 0 || end < start) {
--- a/src/bench/capacity/java/badgermux/capacity/CapacityTables.java
+++ b/src/bench/capacity/java/badgermux/capacity/CapacityTables.java
@@ -12,16 +12,16 @@
 @Command(name = "capacity-tables", mixinStandardHelpOptions = true,
     description = "Works out the capacity page's tables from measured slopes and the target.")
 public final class CapacityTables implements Callable<Integer> {
-    private static final int DIFFERS = 1;
+    private static final int EXIT_PAGE_DIFFERS = 1;
 
     @Option(names = "--slopes", defaultValue = "docs/capacity/slopes.json", description = "Measured slopes (${DEFAULT-VALUE}).")
-    private Path slopes;
+    private Path slopesFile;
 
     @Option(names = "--target", defaultValue = "docs/capacity/target.json", description = "The target (${DEFAULT-VALUE}).")
-    private Path target;
+    private Path targetFile;
 
     @Option(names = "--page", defaultValue = "docs/CAPACITY.md", description = "The page (${DEFAULT-VALUE}).")
-    private Path page;
+    private Path pageFile;
 
     @Option(names = "--write", description = "Write the tables into the page.")
     private boolean write;
@@ -34,16 +34,16 @@
     }
 
     @Override public Integer call() throws Exception {
-        Map<String, String> tables = new Tables(Slopes.read(slopes), Target.read(target)).all();
+        Map<String, String> tables = new Tables(Slopes.read(slopesFile), Target.read(targetFile)).renderAll();
         if (!write && !check) {
             tables.forEach((name, table) -> System.out.println("## " + name + "\n\n" + table));
             return 0;
         }
-        String before = Files.readString(page);
-        String after = Page.with(before, tables);
+        String before = Files.readString(pageFile);
+        String after = CapacityPage.replaceTables(before, tables);
         if (write) {
-            Files.writeString(page, after);
+            Files.writeString(pageFile, after);
         }
-        return check && !before.equals(after) ? DIFFERS : 0;
+        return check && !before.equals(after) ? EXIT_PAGE_DIFFERS : 0;
     }
 }
--- a/src/bench/capacity/java/badgermux/capacity/Demand.java
+++ b/src/bench/capacity/java/badgermux/capacity/Demand.java
@@ -8,27 +8,27 @@
  * @param situation   what happens
  * @param dispatchers how many dispatchers there are
  * @param stateBytes  live heap that it holds
- * @param messages    messages a second, both ways
- * @param bytes       bytes a second, both ways
+ * @param messagesPerSecond    messages a second, both ways
+ * @param bytesPerSecond       bytes a second, both ways
  * @param coreShare   the part of one core, idle time of the process left out
- * @param mechanism   the classes that carry it, separated by commas; {@link #NONE} where nothing does
+ * @param mechanism   the classes that carry it, separated by commas; {@link #NO_MECHANISM} where nothing does
  */
-public record Demand(String role, Kind kind, Situation situation, int dispatchers, double stateBytes, double messages,
-        double bytes, double coreShare, String mechanism) {
+public record Demand(String role, Kind kind, Situation situation, int dispatchers, double stateBytes, double messagesPerSecond,
+        double bytesPerSecond, double coreShare, String mechanism) {
     /** Says that no class carries a demand. */
-    public static final String NONE = "none";
+    public static final String NO_MECHANISM = "none";
 
     /** What a demand is counted as: only control has a budget. */
     public enum Kind { CONTROL, TRAFFIC, OUTSIDE }
 
     /** Whether nothing carries it. */
     public boolean hasNoMechanism() {
-        return mechanism.equals(NONE);
+        return mechanism.equals(NO_MECHANISM);
     }
 
     /** The largest of bytes, processor time and state against a dispatcher's budget. */
-    public double ratio(Target.Budget budget) {
+    public double budgetRatio(Target.Budget budget) {
         double memory = stateBytes / budget.memoryBytes();
-        return Math.max(memory, Math.max(bytes / budget.bytesPerSecond(), coreShare / budget.coreShare()));
+        return Math.max(memory, Math.max(bytesPerSecond / budget.bytesPerSecond(), coreShare / budget.coreShare()));
     }
 }
--- a/src/bench/capacity/java/badgermux/capacity/Slope.java
+++ b/src/bench/capacity/java/badgermux/capacity/Slope.java
@@ -32,13 +32,13 @@
     }
 
     /** The cost at a size: as measured where that size was measured, else by the fitted line and never below 0. */
-    public double at(double size) {
+    public double costAt(double size) {
         return points.stream().filter(point -> point.size() == size).mapToDouble(Point::median).findFirst()
-            .orElse(Math.max(0, fitted(size)));
+            .orElse(Math.max(0, fittedCostAt(size)));
     }
 
     /** The cost at a size by the fitted line. */
-    public double fitted(double size) {
+    public double fittedCostAt(double size) {
         return base + slope * size;
     }
 }
--- a/src/bench/capacity/java/badgermux/capacity/Slopes.java
+++ b/src/bench/capacity/java/badgermux/capacity/Slopes.java
@@ -49,7 +49,7 @@
     }
 
     /** These, with a run and what it measured in place of what that run, or another of the same costs, gave before. */
-    public Slopes with(Run run, List<Slope> measured) {
+    public Slopes withRun(Run run, List<Slope> measured) {
         List<Run> newRuns = new ArrayList<>(runs.stream().filter(old -> !old.name().equals(run.name())).toList());
         newRuns.add(run);
         Set<String> anew = measured.stream().map(Slope::name).collect(Collectors.toSet());
--- a/src/bench/java/badgermux/bench/BigDescription.java
+++ b/src/bench/java/badgermux/bench/BigDescription.java
@@ -13,11 +13,11 @@
     private BigDescription() { }
 
     public static void main(String[] args) throws IOException {
-        Files.writeString(Path.of(args[0]), text(Integer.parseInt(args[1]), Integer.parseInt(args[2]) << 20));
+        Files.writeString(Path.of(args[0]), generate(Integer.parseInt(args[1]), Integer.parseInt(args[2]) << 20));
     }
 
     /** The description's JSON text. Each route is {@code POST /preview/rI/{id}} and takes {@code {"a":integer,...}}. */
-    public static String text(int routes, int bytes) {
+    public static String generate(int routes, int bytes) {
         int schemas = Math.max(1, routes);
         String words = "What stands here is read by people only, and there is a lot of it. ";
         // About 1,500 bytes a route and its schema without the words.
--- a/src/bench/java/badgermux/bench/DecideBench.java
+++ b/src/bench/java/badgermux/bench/DecideBench.java
@@ -36,11 +36,11 @@
 @Measurement(iterations = 5, time = 1)
 @Fork(1)
 public class DecideBench implements DispatchPolicy.Actions {
-    private static final long RUN = 300_000, GAP = 20_000;
+    private static final long RUN_MICROS = 300_000, ARRIVAL_INTERVAL_MICROS = 20_000;
 
-    private record Due(long at, int token) { }
+    private record PendingTimer(long firesAt, int token) { }
 
-    private record Sent(long due, long job, long worker) { }
+    private record SimulatedAttempt(long endsAt, long requestId, long backendId) { }
 
     /** How many workers are listed. */
     @Param({"15", "60", "200", "1000"})
@@ -50,17 +50,17 @@
     @Param({"free", "full", "cold"})
     public String fleet;
 
-    private final PriorityQueue<Due> timers = new PriorityQueue<>(Comparator.comparingLong(Due::at));
-    private final ArrayDeque<Long> probes = new ArrayDeque<>();
-    private final ArrayDeque<Sent> out = new ArrayDeque<>();
-    private final ArrayDeque<Sent> sent = new ArrayDeque<>();
+    private final PriorityQueue<PendingTimer> timers = new PriorityQueue<>(Comparator.comparingLong(PendingTimer::firesAt));
+    private final ArrayDeque<Long> pendingProbes = new ArrayDeque<>();
+    private final ArrayDeque<SimulatedAttempt> runningAttempts = new ArrayDeque<>();
+    private final ArrayDeque<SimulatedAttempt> unstartedAttempts = new ArrayDeque<>();
     private final DispatchPolicy.LoadReport report = new DispatchPolicy.LoadReport();
-    private DefaultDispatchPolicy module;
-    private List<DispatchPolicy.Backend> workers;
-    private long now;
+    private DefaultDispatchPolicy policy;
+    private List<DispatchPolicy.Backend> backends;
+    private long nowMicros;
     private long job;
 
-    @Setup public void set() {
+    @Setup public void setUp() {
         DispatchPolicy.Settings s = new DispatchPolicy.Settings();
         s.dispatcherCount = 14;
         s.mayProbe = true;
@@ -75,61 +75,61 @@
         s.overloadWindowMicros = 2_000_000;
         s.classes.add(new DispatchPolicy.RequestClass("preview", Effect.REPEATABLE, DispatchPolicy.DedupScope.ALL, 600_000, 1.75, 10_000_000, 0, 1,
             0, -1, false));
-        now = 1L << 40;
-        long cold = fleet.equals("cold") ? now : 0;
-        workers = new ArrayList<>(IntStream.range(0, runners).mapToObj(i -> new DispatchPolicy.Backend(i * 0x9E3779B97F4A7C15L, i % 2,
+        nowMicros = 1L << 40;
+        long cold = fleet.equals("cold") ? nowMicros : 0;
+        backends = new ArrayList<>(IntStream.range(0, runners).mapToObj(i -> new DispatchPolicy.Backend(i * 0x9E3779B97F4A7C15L, i % 2,
             0, i / 4, BackendState.READY, i % 2 == 0 ? 0 : cold)).toList());
-        module = new DefaultDispatchPolicy(s, 7, this);
-        module.backendsListed(now, ListUpdate.FULL, workers);
+        policy = new DefaultDispatchPolicy(s, 7, this);
+        policy.backendsListed(nowMicros, ListUpdate.FULL, backends);
     }
 
     @Benchmark public int job() {
-        now += GAP;
-        while (!timers.isEmpty() && timers.peek().at <= now) {
-            module.timerFired(now, timers.poll().token);
-            start();
+        nowMicros += ARRIVAL_INTERVAL_MICROS;
+        while (!timers.isEmpty() && timers.peek().firesAt <= nowMicros) {
+            policy.timerFired(nowMicros, timers.poll().token);
+            startSentAttempts();
         }
-        while (!out.isEmpty() && out.peek().due <= now) {
-            Sent done = out.poll();
-            module.attemptEnded(now, done.job, 0, done.worker, Outcome.SERVED, true, null);
-            start();
+        while (!runningAttempts.isEmpty() && runningAttempts.peek().endsAt <= nowMicros) {
+            SimulatedAttempt done = runningAttempts.poll();
+            policy.attemptEnded(nowMicros, done.requestId, 0, done.backendId, Outcome.SERVED, true, null);
+            startSentAttempts();
         }
-        module.requestReceived(now, new DispatchPolicy.Request(job++, 0, 0, 1, 0, 10_000_000));
-        start();
-        while (!probes.isEmpty()) {
-            long id = probes.poll();
-            boolean cold = workers.get((int) Long.remainderUnsigned(id * 0xF1DE83E19937733DL, runners)).startedAtMicros() > 0;
+        policy.requestReceived(nowMicros, new DispatchPolicy.Request(job++, 0, 0, 1, 0, 10_000_000));
+        startSentAttempts();
+        while (!pendingProbes.isEmpty()) {
+            long id = pendingProbes.poll();
+            boolean cold = backends.get((int) Long.remainderUnsigned(id * 0xF1DE83E19937733DL, runners)).startedAtMicros() > 0;
             report.freeSlots = fleet.equals("free") || cold ? 4 : 0;
-            module.probeEnded(now, id, true, report);
-            start();
+            policy.probeEnded(nowMicros, id, true, report);
+            startSentAttempts();
         }
-        return out.size();
+        return runningAttempts.size();
     }
 
     @Benchmark public int oneWorkersNews() {
-        now += GAP;
-        module.backendsListed(now, ListUpdate.DELTA, List.of(workers.get((int) (now / GAP % runners))));
+        nowMicros += ARRIVAL_INTERVAL_MICROS;
+        policy.backendsListed(nowMicros, ListUpdate.DELTA, List.of(backends.get((int) (nowMicros / ARRIVAL_INTERVAL_MICROS % runners))));
         return runners;
     }
 
     @Override public void send(long id, long worker) {
-        sent.add(new Sent(now + RUN, id, worker));
+        unstartedAttempts.add(new SimulatedAttempt(nowMicros + RUN_MICROS, id, worker));
     }
 
     /** What was sent starts once the event that sent it has been dealt with, as in the engine. */
-    private void start() {
-        for (Sent next = sent.poll(); next != null; next = sent.poll()) {
-            out.add(next);
-            module.attemptStarted(now, next.job, 0);
+    private void startSentAttempts() {
+        for (SimulatedAttempt next = unstartedAttempts.poll(); next != null; next = unstartedAttempts.poll()) {
+            runningAttempts.add(next);
+            policy.attemptStarted(nowMicros, next.requestId, 0);
         }
     }
 
     @Override public void startTimer(long delay, int token) {
-        timers.add(new Due(now + delay, token));
+        timers.add(new PendingTimer(nowMicros + delay, token));
     }
 
     @Override public void probe(long worker) {
-        probes.add(worker);
+        pendingProbes.add(worker);
     }
 
     @Override public void refuse(long id, long comeBack) { }
--- a/src/bench/java/badgermux/bench/JudgeBench.java
+++ b/src/bench/java/badgermux/bench/JudgeBench.java
@@ -47,7 +47,7 @@
     private Schema bare;
     private final JsonMapper mapper = new JsonMapper();
 
-    @Setup public void set() throws Exception {
+    @Setup public void setUp() throws Exception {
         StringBuilder text = new StringBuilder("{\"story\":\"123456\",\"headline\":\"A headline\",\"blocks\":[");
         String block = "{\"kind\":\"text\",\"text\":\"Some forty characters of a paragraph here.\",\"weight\":1.5}";
         text.append(block);
--- a/src/bench/java/badgermux/bench/RouteBench.java
+++ b/src/bench/java/badgermux/bench/RouteBench.java
@@ -33,9 +33,9 @@
 
     private ContractSet contracts;
     private HttpRequest[] requests;
-    private int next;
+    private int nextIndex;
 
-    @Setup public void set() throws Exception {
+    @Setup public void setUp() throws Exception {
         StringBuilder text = new StringBuilder("{\"openapi\":\"3.1.0\",\"paths\":{");
         requests = new HttpRequest[1024];
         for (int i = 0; i < routes; i++) {
@@ -51,6 +51,6 @@
     }
 
     @Benchmark public boolean lookUp() {
-        return contracts.validateQuickly(requests[next++ & 1023]).result().conforms();
+        return contracts.validateQuickly(requests[nextIndex++ & 1023]).result().conforms();
     }
 }
--- a/src/bench/java/badgermux/bench/Saturate.java
+++ b/src/bench/java/badgermux/bench/Saturate.java
@@ -43,59 +43,59 @@
         + "\"on_request\",\"Report\":{\"How\":\"silent\",\"Columns\":[]},\"Customers\":[],\"Ceilings\":{\"MaxAttempts\":3,"
         + "\"Cancel\":true,\"RetryAfter\":true,\"MaxRetryAfterMs\":2000,\"ConnIdleMs\":15000,\"ConnectTimeoutMs\":250},"
         + "\"RequestClasses\":[{\"Name\":\"preview\",\"Effect\":\"repeatable\",\"TargetMs\":4000,\"GiveUpMs\":5000}]}";
-    private static final String SMALL = "{\"openapi\":\"3.1.0\",\"paths\":{\"/preview/{paper}\":{\"post\":{\"parameters\":["
+    private static final String SMALL_DESCRIPTION = "{\"openapi\":\"3.1.0\",\"paths\":{\"/preview/{paper}\":{\"post\":{\"parameters\":["
         + "{\"name\":\"paper\",\"in\":\"path\",\"required\":true,\"schema\":{\"type\":\"string\"}}],\"requestBody\":{\"content\":"
         + "{\"application/json\":{\"schema\":{\"type\":\"object\",\"required\":[\"a\"],\"properties\":{\"a\":{\"type\":\"integer\"},"
         + "\"name\":{\"type\":\"string\",\"maxLength\":64},\"tags\":{\"type\":\"array\",\"items\":{\"type\":\"string\"}}}}}}}}}}}";
-    private static final byte[] BODY = "{\"a\":1,\"name\":\"a story's name\",\"tags\":[\"x\",\"y\",\"z\"]}"
+    private static final byte[] REQUEST_BODY = "{\"a\":1,\"name\":\"a story's name\",\"tags\":[\"x\",\"y\",\"z\"]}"
         .getBytes(StandardCharsets.UTF_8);
 
-    private final MultiThreadIoEventLoopGroup loops = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
-    private final AtomicLong ids = new AtomicLong(1);
-    private final AtomicLong answers = new AtomicLong();
-    private final AtomicLong bad = new AtomicLong();
+    private final MultiThreadIoEventLoopGroup eventLoops = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
+    private final AtomicLong lastRequestId = new AtomicLong(1);
+    private final AtomicLong responseCount = new AtomicLong();
+    private final AtomicLong non200Count = new AtomicLong();
 
     private Saturate() { }
 
     /** One dispatcher under test. */
-    private record Instance(Process process, int port, int adminPort) { }
+    private record Dispatcher(Process process, int port, int adminPort) { }
 
     public static void main(String[] args) throws Exception {
         if (args[0].equals("pair")) {
-            new Saturate().pair(args[1], args[2], Integer.parseInt(args[3]), Integer.parseInt(args[4]));
+            new Saturate().compareJars(args[1], args[2], Integer.parseInt(args[3]), Integer.parseInt(args[4]));
         } else {
-            new Saturate().run(args[0], Integer.parseInt(args[1]), Integer.parseInt(args[2]));
+            new Saturate().measureContracts(args[0], Integer.parseInt(args[1]), Integer.parseInt(args[2]));
         }
         System.exit(0);
     }
 
     /** What the second jar serves of the first one's rate, in turns. */
-    private void pair(String old, String fresh, int seconds, int rounds) throws Exception {
-        String members = members();
-        int discovery = listen(false);
-        Instance before = start(old, members, discovery, false);
-        Instance after = start(fresh, members, discovery, false);
-        saturate(before, seconds);
-        saturate(after, seconds);
+    private void compareJars(String old, String fresh, int seconds, int rounds) throws Exception {
+        String members = startBackends();
+        int discovery = startStub(false);
+        Dispatcher before = start(old, members, discovery, false);
+        Dispatcher after = start(fresh, members, discovery, false);
+        measureRate(before, seconds);
+        measureRate(after, seconds);
         List<Double> one = new ArrayList<>();
         List<Double> two = new ArrayList<>();
         List<Double> ratios = new ArrayList<>();
         for (int i = 0; i < rounds; i++) {
-            one.add(saturate(before, seconds));
-            two.add(saturate(after, seconds));
+            one.add(measureRate(before, seconds));
+            two.add(measureRate(after, seconds));
             ratios.add(two.get(i) / one.get(i));
         }
         System.out.printf(Locale.ROOT, "requests a second: old %.0f, new %.0f, ratio %.3f (median of %d rounds, %.3f to %.3f), "
             + "answers other than 200: %d%n", median(one), median(two), median(ratios), rounds,
-            ratios.stream().min(Double::compare).orElseThrow(), ratios.stream().max(Double::compare).orElseThrow(), bad.get());
+            ratios.stream().min(Double::compare).orElseThrow(), ratios.stream().max(Double::compare).orElseThrow(), non200Count.get());
         before.process.destroy();
         after.process.destroy();
     }
 
-    private String members() throws InterruptedException {
+    private String startBackends() throws InterruptedException {
         StringBuilder members = new StringBuilder();
         for (int i = 0; i < 8; i++) {
-            int port = listen(true);
+            int port = startStub(true);
             members.append(i == 0 ? "" : ",").append("{\"id\":\"s-").append(i).append("\",\"host_port\":\"127.0.0.1:")
                 .append(port).append("\",\"locality\":\"east\",\"flavor\":\"k\",\"cell\":0,\"phase\":\"SERVING\",\"size\":1.0,"
                 + "\"up_since_ms\":0}");
@@ -103,36 +103,36 @@
         return members.toString();
     }
 
-    private void run(String jar, int seconds, int rounds) throws Exception {
-        String members = members();
-        int discovery = listen(false);
-        Instance without = start(jar, members, discovery, false);
-        Instance with = start(jar, members, discovery, true);
-        put(with, "small", SMALL);
+    private void measureContracts(String jar, int seconds, int rounds) throws Exception {
+        String members = startBackends();
+        int discovery = startStub(false);
+        Dispatcher without = start(jar, members, discovery, false);
+        Dispatcher with = start(jar, members, discovery, true);
+        putDescription(with, "small", SMALL_DESCRIPTION);
         List<Double> plain = new ArrayList<>();
         List<Double> judged = new ArrayList<>();
         List<Double> ratios = new ArrayList<>();
-        saturate(without, seconds);
-        saturate(with, seconds);
+        measureRate(without, seconds);
+        measureRate(with, seconds);
         for (int i = 0; i < rounds; i++) {
-            plain.add(saturate(without, seconds));
-            judged.add(saturate(with, seconds));
+            plain.add(measureRate(without, seconds));
+            judged.add(measureRate(with, seconds));
             ratios.add(judged.get(i) / plain.get(i));
         }
         System.out.printf(Locale.ROOT, "requests a second: without %.0f, with a description %.0f, ratio %.3f (median of %d "
-            + "rounds), answers other than 200: %d%n", median(plain), median(judged), median(ratios), rounds, bad.get());
-        latencies(with, 4_000, () -> { });
-        System.out.println("calm: " + latencies(with, 10_000, () -> { }));
-        String big = BigDescription.text(1000, 13 << 20).replace("/preview/r", "/preview/big/r");
+            + "rounds), answers other than 200: %d%n", median(plain), median(judged), median(ratios), rounds, non200Count.get());
+        measureLatencies(with, 4_000, () -> { });
+        System.out.println("calm: " + measureLatencies(with, 10_000, () -> { }));
+        String big = BigDescription.generate(1000, 13 << 20).replace("/preview/r", "/preview/big/r");
         long[] took = new long[1];
         Path file = Files.writeString(Files.createTempFile("big", ".json"), big);
         System.gc();
-        System.out.println("while 13 MB are set and first used: " + latencies(with, 15_000, () -> {
+        System.out.println("while 13 MB are set and first used: " + measureLatencies(with, 15_000, () -> {
             long from = System.nanoTime();
-            putApart(with, file);
+            putFromOtherProcess(with, file);
             took[0] = System.nanoTime() - from;
             for (int i = 0; i < 20; i++) {
-                one(with, "/preview/big/r" + i * 37 + "/x", "{\"a\":1,\"next\":{\"a\":2,\"list\":[{\"a\":3}]}}");
+                sendOne(with, "/preview/big/r" + i * 37 + "/x", "{\"a\":1,\"next\":{\"a\":2,\"list\":[{\"a\":3}]}}");
             }
         }));
         System.out.printf(Locale.ROOT, "setting it took %.2f s%n", took[0] / 1e9);
@@ -144,7 +144,7 @@
         return of.stream().sorted().skip(of.size() / 2).findFirst().orElseThrow();
     }
 
-    private static Instance start(String jar, String members, int discovery, boolean admin) throws IOException {
+    private static Dispatcher start(String jar, String members, int discovery, boolean admin) throws IOException {
         Path config = Files.createTempFile("saturate", ".json");
         Files.writeString(config, "{\"name\":\"n\",\"seed\":\"1f\",\"limits\":{\"sockets\":1024,\"memory_mb\":192},\"known\":{"
             + "\"revision\":1,\"complete\":true,\"members\":[" + members + "]},\"settings\":" + SETTINGS + "}");
@@ -167,13 +167,13 @@
                 Thread drain = new Thread(() -> log.lines().forEach(rest -> { }));
                 drain.setDaemon(true);
                 drain.start();
-                return new Instance(process, port, adminPort);
+                return new Dispatcher(process, port, adminPort);
             }
         }
         throw new IOException("the program did not start");
     }
 
-    private static void put(Instance to, String name, String text) {
+    private static void putDescription(Dispatcher to, String name, String text) {
         try {
             HttpURLConnection call = (HttpURLConnection) URI.create("http://127.0.0.1:" + to.adminPort + "/v1/contracts/" + name)
                 .toURL().openConnection();
@@ -189,7 +189,7 @@
     }
 
     /** By a process of its own: this one's collections must not count. */
-    private static void putApart(Instance to, Path file) {
+    private static void putFromOtherProcess(Dispatcher to, Path file) {
         try {
             int status = new ProcessBuilder("curl", "-sf", "-o", "/dev/null", "-T", file.toString(), "http://127.0.0.1:"
                 + to.adminPort + "/v1/contracts/big").start().waitFor();
@@ -201,13 +201,13 @@
         }
     }
 
-    private void one(Instance to, String path, String body) {
+    private void sendOne(Dispatcher to, String path, String body) {
         try {
             HttpURLConnection call = (HttpURLConnection) URI.create("http://127.0.0.1:" + to.port + path).toURL()
                 .openConnection();
             call.setRequestMethod("POST");
             call.setDoOutput(true);
-            call.setRequestProperty("X-Request-ID", String.format("%016x", ids.incrementAndGet()));
+            call.setRequestProperty("X-Request-ID", String.format("%016x", lastRequestId.incrementAndGet()));
             call.setRequestProperty("Content-Type", "application/json");
             call.getOutputStream().write(body.getBytes(StandardCharsets.UTF_8));
             if (call.getResponseCode() != 200) {
@@ -220,31 +220,31 @@
 
     // ---- Load
 
-    private double saturate(Instance on, int seconds) throws InterruptedException {
+    private double measureRate(Dispatcher on, int seconds) throws InterruptedException {
         List<Channel> channels = connect(on, 32, null);
         TimeUnit.MILLISECONDS.sleep(500);
-        long before = answers.get();
+        long before = responseCount.get();
         long from = System.nanoTime();
         TimeUnit.SECONDS.sleep(seconds);
-        double rate = (answers.get() - before) * 1e9 / (System.nanoTime() - from);
+        double rate = (responseCount.get() - before) * 1e9 / (System.nanoTime() - from);
         for (Channel channel : channels) {
             channel.close().sync();
         }
         return rate;
     }
 
-    private List<Channel> connect(Instance to, int count, Histogram histogram) throws InterruptedException {
+    private List<Channel> connect(Dispatcher to, int count, Histogram histogram) throws InterruptedException {
         List<Channel> channels = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            Channel channel = new Bootstrap().group(loops).channel(NioSocketChannel.class)
-                .handler(new Asking(histogram == null, histogram)).connect("127.0.0.1", to.port).sync().channel();
+            Channel channel = new Bootstrap().group(eventLoops).channel(NioSocketChannel.class)
+                .handler(new LoadConnection(histogram == null, histogram)).connect("127.0.0.1", to.port).sync().channel();
             channels.add(channel);
         }
         return channels;
     }
 
     /** So many requests, one a millisecond on 16 connections in turn, each timed from when it was meant to go. */
-    private String latencies(Instance on, int count, Runnable meanwhile) throws InterruptedException {
+    private String measureLatencies(Dispatcher on, int count, Runnable meanwhile) throws InterruptedException {
         Histogram histogram = new ConcurrentHistogram(60_000_000L, 3);
         List<Channel> channels = connect(on, 16, histogram);
         Thread other = new Thread(meanwhile);
@@ -256,7 +256,7 @@
                 Thread.onSpinWait();
             }
             Channel channel = channels.get(i % channels.size());
-            channel.eventLoop().execute(() -> channel.pipeline().get(Asking.class).ask(at));
+            channel.eventLoop().execute(() -> channel.pipeline().get(LoadConnection.class).request(at));
         }
         other.join();
         TimeUnit.MILLISECONDS.sleep(500);
@@ -269,14 +269,14 @@
     }
 
     /** A client's connection: closed loop, or one request when it is told to, timed. */
-    private final class Asking extends ChannelInboundHandlerAdapter implements MessageReader.Listener {
+    private final class LoadConnection extends ChannelInboundHandlerAdapter implements MessageReader.Listener {
         private final MessageReader reader = new MessageReader(true, 65_536, this);
-        private final java.util.ArrayDeque<Long> times = new java.util.ArrayDeque<>();
+        private final java.util.ArrayDeque<Long> intendedSendTimes = new java.util.ArrayDeque<>();
         private final boolean closedLoop;
         private final Histogram histogram;
         private ChannelHandlerContext context;
 
-        Asking(boolean closedLoop, Histogram histogram) {
+        LoadConnection(boolean closedLoop, Histogram histogram) {
             this.closedLoop = closedLoop;
             this.histogram = histogram;
         }
@@ -284,35 +284,35 @@
         @Override public void channelActive(ChannelHandlerContext ctx) {
             context = ctx;
             if (closedLoop) {
-                ask(0);
+                request(0);
             }
         }
 
-        void ask(long meantFor) {
-            times.add(meantFor);
-            if (times.size() == 1) {
-                send();
+        void request(long meantFor) {
+            intendedSendTimes.add(meantFor);
+            if (intendedSendTimes.size() == 1) {
+                writeRequest();
             }
         }
 
-        private void send() {
+        private void writeRequest() {
             context.writeAndFlush(Unpooled.wrappedBuffer(("POST /preview/nhan-dan HTTP/1.1\r\nHost: h\r\nX-Request-ID: "
-                + String.format("%016x", ids.incrementAndGet()) + "\r\nX-Timeout: 5000m\r\nContent-Type: application/json\r\n"
-                + "Content-Length: " + BODY.length + "\r\n\r\n").getBytes(StandardCharsets.ISO_8859_1), BODY));
+                + String.format("%016x", lastRequestId.incrementAndGet()) + "\r\nX-Timeout: 5000m\r\nContent-Type: application/json\r\n"
+                + "Content-Length: " + REQUEST_BODY.length + "\r\n\r\n").getBytes(StandardCharsets.ISO_8859_1), REQUEST_BODY));
         }
 
         @Override public void channelRead(ChannelHandlerContext ctx, Object message) throws InvalidMessageException {
             ByteBuf in = (ByteBuf) message;
             while (in.isReadable() && reader.read(in)) {
-                answers.incrementAndGet();
-                long meantFor = times.remove();
+                responseCount.incrementAndGet();
+                long meantFor = intendedSendTimes.remove();
                 if (histogram != null) {
                     histogram.recordValue((System.nanoTime() - meantFor) / 1000);
                 }
                 if (closedLoop) {
-                    ask(0);
-                } else if (!times.isEmpty()) {
-                    send();
+                    request(0);
+                } else if (!intendedSendTimes.isEmpty()) {
+                    writeRequest();
                 }
             }
             in.release();
@@ -320,7 +320,7 @@
 
         @Override public void onHead(MessageHead head) throws InvalidMessageException {
             if (head.status() != 200) {
-                bad.incrementAndGet();
+                non200Count.incrementAndGet();
             }
         }
 
@@ -329,23 +329,23 @@
 
     // ---- Stand-ins
 
-    private int listen(boolean backend) throws InterruptedException {
-        Channel channel = new ServerBootstrap().group(loops).channel(NioServerSocketChannel.class)
+    private int startStub(boolean backend) throws InterruptedException {
+        Channel channel = new ServerBootstrap().group(eventLoops).channel(NioServerSocketChannel.class)
             .childHandler(new ChannelInitializer<SocketChannel>() {
                 @Override protected void initChannel(SocketChannel ch) {
-                    ch.pipeline().addLast(new Answering(backend));
+                    ch.pipeline().addLast(new StubHandler(backend));
                 }
             }).bind("127.0.0.1", 0).sync().channel();
         return ((InetSocketAddress) channel.localAddress()).getPort();
     }
 
     /** A backend that is done at once, or a discovery service that never has news. */
-    private static final class Answering extends ChannelInboundHandlerAdapter implements MessageReader.Listener {
+    private static final class StubHandler extends ChannelInboundHandlerAdapter implements MessageReader.Listener {
         private final MessageReader reader = new MessageReader(false, 65_536, this);
         private final boolean backend;
         private String id;
 
-        Answering(boolean backend) {
+        StubHandler(boolean backend) {
             this.backend = backend;
         }
 
--- a/src/bench/java/badgermux/capacity/MeasureModule.java
+++ b/src/bench/java/badgermux/capacity/MeasureModule.java
@@ -35,47 +35,47 @@
     description = "Measures decisions, news, lists, heap and messages by size.")
 public final class MeasureModule implements Callable<Integer> {
     private static final String RUN = "module";
-    private static final int[] WORKERS = {60, 250, 600, 1200, 2600, 5200, 10_000};
-    private static final int[] CLASSES = {1, 3, 6, 12};
-    private static final int[] TENANTS = {3, 60, 190, 600};
-    private static final int[] OPEN = {250, 1000, 4000, 16_000};
-    private static final int TODAYS_CLASSES = 3, TARGET_WORKERS = 2600, TARGET_TENANTS = 190;
+    private static final int[] BACKEND_COUNTS = {60, 250, 600, 1200, 2600, 5200, 10_000};
+    private static final int[] CLASS_COUNTS = {1, 3, 6, 12};
+    private static final int[] TENANT_COUNTS = {3, 60, 190, 600};
+    private static final int[] OPEN_REQUEST_COUNTS = {250, 1000, 4000, 16_000};
+    private static final int DEFAULT_CLASS_COUNT = 3, TARGET_BACKEND_COUNT = 2600, TARGET_TENANT_COUNT = 190;
     /** A round goes on until it has taken so much of the thread's processor time. */
-    private static final long ROUND_NANOS = 25_000_000;
+    private static final long MIN_ROUND_NANOS = 25_000_000;
     private static final double NANOS_PER_MICRO = 1e3;
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
 
     @Option(names = "--slopes", defaultValue = "docs/capacity/slopes.json", description = "The file of slopes.")
-    private Path file;
+    private Path slopesFile;
 
     @Option(names = "--rounds", defaultValue = "9", description = "Rounds measured of each point, after two that are not.")
     private int rounds;
 
-    private final Recorder recorder = new Recorder(RUN);
-    private long kept;
+    private final SlopeRecorder recorder = new SlopeRecorder(RUN);
+    private long resultHash;
     /** What is measured, so that it lives on until the next. */
-    private Object made;
+    private Object measuredObject;
 
     public static void main(String[] args) {
         System.exit(new CommandLine(new MeasureModule()).execute(args));
     }
 
     @Override public Integer call() throws Exception {
-        times();
-        heap();
-        messages();
+        measureCpu();
+        measureHeap();
+        measureMessages();
         String command = "JAVA_TOOL_OPTIONS='" + System.getenv().getOrDefault("JAVA_TOOL_OPTIONS", "")
             + "' src/bench/run badgermux.capacity.MeasureModule --rounds " + rounds;
         String how = "Processor time of the measuring thread, so other processes' load counts little; collections run on "
             + "another thread and are left out. Heap: what is in use after three collections. Messages: as the program's own "
             + "classes encode them, without TCP and IP heads.";
-        Slopes.read(file).with(recorder.run(command, how), recorder.slopes()).write(file);
-        return kept == Long.MIN_VALUE ? 1 : 0;
+        Slopes.read(slopesFile).withRun(recorder.run(command, how), recorder.slopes()).write(slopesFile);
+        return resultHash == Long.MIN_VALUE ? 1 : 0;
     }
 
     // ---- Processor time
 
-    private void times() {
+    private void measureCpu() {
         recorder.describe("cpu.request", "a request in the decision module, with its probes, timers and outcome", "us", "worker");
         recorder.describe("probes.request", "probes that the module asks for with a request, one job each 20 ms", "probes", "worker");
         recorder.describe("cpu.news", "the news of one worker in the decision module, 3 classes", "us", "worker");
@@ -84,33 +84,33 @@
         recorder.describe("cpu.zone.single", "a zone (1/11) is told gone, one delta a worker, 3 classes", "us", "worker");
         recorder.describe("cpu.zone.whole", "a zone (1/11) is told gone in one delta, 3 classes", "us", "worker");
         recorder.describe("cpu.parse", "decoding a whole list by ListDecoder", "us", "worker");
-        for (int size : WORKERS) {
-            ModuleRig rig = new ModuleRig(size, TODAYS_CLASSES, 0);
-            recorder.add("cpu.request", size, time(turn -> rig.job()));
-            long before = rig.probesAsked();
+        for (int size : BACKEND_COUNTS) {
+            PolicyHarness rig = new PolicyHarness(size, DEFAULT_CLASS_COUNT, 0);
+            recorder.add("cpu.request", size, cpuMicrosPerCall(turn -> rig.job()));
+            long before = rig.probeCount();
             IntStream.range(0, 1000).forEach(turn -> rig.job());
-            recorder.add("probes.request", size, (rig.probesAsked() - before) / 1000.0);
-            recorder.add("cpu.news", size, time(rig::news));
-            recorder.add("cpu.list", size, time(turn -> rig.wholeList()));
-            recorder.add("cpu.zone.single", size, timeZone(rig, true));
-            recorder.add("cpu.zone.whole", size, timeZone(rig, false));
-            String list = list(size);
-            recorder.add("cpu.parse", size, time(turn -> kept += BackendListCodec.decode(list).hashCode()));
+            recorder.add("probes.request", size, (rig.probeCount() - before) / 1000.0);
+            recorder.add("cpu.news", size, cpuMicrosPerCall(rig::changeOneBackend));
+            recorder.add("cpu.list", size, cpuMicrosPerCall(turn -> rig.resendFullList()));
+            recorder.add("cpu.zone.single", size, zoneLossCpuMicros(rig, true));
+            recorder.add("cpu.zone.whole", size, zoneLossCpuMicros(rig, false));
+            String list = listJson(size);
+            recorder.add("cpu.parse", size, cpuMicrosPerCall(turn -> resultHash += BackendListCodec.decode(list).hashCode()));
         }
-        for (int classes : CLASSES) {
-            ModuleRig rig = new ModuleRig(TARGET_WORKERS, classes, 0);
-            recorder.add("cpu.news.class", classes, time(rig::news));
+        for (int classes : CLASS_COUNTS) {
+            PolicyHarness rig = new PolicyHarness(TARGET_BACKEND_COUNT, classes, 0);
+            recorder.add("cpu.news.class", classes, cpuMicrosPerCall(rig::changeOneBackend));
         }
     }
 
     /** Microseconds of processor time for one call, by round. */
-    private double[] time(IntConsumer work) {
+    private double[] cpuMicrosPerCall(IntConsumer work) {
         double[] result = new double[rounds];
         int turn = 0;
         for (int round = -2; round < rounds; round++) {
             long from = THREADS.getCurrentThreadCpuTime(), taken = 0;
             int calls = 0;
-            while (taken < ROUND_NANOS) {
+            while (taken < MIN_ROUND_NANOS) {
                 work.accept(turn++);
                 calls++;
                 taken = THREADS.getCurrentThreadCpuTime() - from;
@@ -123,13 +123,13 @@
     }
 
     /** Microseconds of processor time for the loss of a zone, by round; its return is not counted. */
-    private double[] timeZone(ModuleRig rig, boolean oneByOne) {
+    private double[] zoneLossCpuMicros(PolicyHarness rig, boolean oneByOne) {
         double[] result = new double[rounds];
         for (int round = -2; round < rounds; round++) {
             long from = THREADS.getCurrentThreadCpuTime();
-            rig.loseZone(oneByOne);
+            rig.removeZone(oneByOne);
             long taken = THREADS.getCurrentThreadCpuTime() - from;
-            rig.returnZone();
+            rig.restoreZone();
             if (round >= 0) {
                 result[round] = taken / NANOS_PER_MICRO;
             }
@@ -139,39 +139,39 @@
 
     // ---- Heap
 
-    private void heap() {
+    private void measureHeap() {
         recorder.describe("heap.worker", "live heap of the decision module", "bytes", "worker");
         recorder.describe("heap.tenant", "live heap of the decision module and its settings", "bytes", "tenant");
         recorder.describe("heap.open", "live heap of engine and module for requests that have one attempt out", "bytes", "request");
-        for (int size : WORKERS) {
-            recorder.add("heap.worker", size, held(() -> new ModuleRig(size, TODAYS_CLASSES, 0)));
+        for (int size : BACKEND_COUNTS) {
+            recorder.add("heap.worker", size, retainedBytes(() -> new PolicyHarness(size, DEFAULT_CLASS_COUNT, 0)));
         }
-        for (int tenants : TENANTS) {
-            recorder.add("heap.tenant", tenants, held(() -> new ModuleRig(60, TODAYS_CLASSES, tenants)));
+        for (int tenants : TENANT_COUNTS) {
+            recorder.add("heap.tenant", tenants, retainedBytes(() -> new PolicyHarness(60, DEFAULT_CLASS_COUNT, tenants)));
         }
-        for (int open : OPEN) {
-            recorder.add("heap.open", open, held(() -> new OpenRequests(open)));
+        for (int open : OPEN_REQUEST_COUNTS) {
+            recorder.add("heap.open", open, retainedBytes(() -> new OpenRequests(open)));
         }
     }
 
     /** Bytes that live on with what is made, by round. */
-    private double[] held(Supplier<Object> make) {
+    private double[] retainedBytes(Supplier<Object> make) {
         double[] result = new double[3];
-        heldOnce(make);
+        retainedBytesOnce(make);
         for (int round = 0; round < result.length; round++) {
-            result[round] = heldOnce(make);
+            result[round] = retainedBytesOnce(make);
         }
         return result;
     }
 
-    private long heldOnce(Supplier<Object> make) {
-        made = null;
-        long before = live();
-        made = make.get();
-        return Math.max(1, live() - before);
+    private long retainedBytesOnce(Supplier<Object> make) {
+        measuredObject = null;
+        long before = usedHeapBytes();
+        measuredObject = make.get();
+        return Math.max(1, usedHeapBytes() - before);
     }
 
-    private static long live() {
+    private static long usedHeapBytes() {
         Runtime runtime = Runtime.getRuntime();
         for (int i = 0; i < 3; i++) {
             System.gc();
@@ -181,14 +181,14 @@
 
     /** An engine with so many requests, each with one attempt out at a worker that never answers. */
     private static final class OpenRequests implements BackendClient<ForwardedRequest>, ResponseListener {
-        private static final long PATIENCE = 10_000_000;
+        private static final long TIMEOUT_MICROS = 10_000_000;
         private final Engine<ForwardedRequest> engine;
 
         OpenRequests(int open) {
             Metrics metrics = new Metrics(List.of("class0"));
             long now = System.nanoTime() / 1000;
             Deadlines deadlines = new Deadlines(() -> now, at -> { }, metrics);
-            DispatchPolicy.Settings settings = ModuleRig.settings(1, 0);
+            DispatchPolicy.Settings settings = PolicyHarness.settings(1, 0);
             settings.reportMode = DispatchPolicy.ReportMode.NEVER;
             settings.mayProbe = false;
             engine = new Engine<>(() -> now, deadlines, metrics, settings.maxAttempts);
@@ -198,7 +198,7 @@
             for (int i = 0; i < open; i++) {
                 String id = String.format("%016x", i);
                 ForwardedRequest relay = new ForwardedRequest(id, "POST /preview/a HTTP/1.1", "X-Request-ID: " + id + "\r\n", new byte[64], null);
-                engine.submit(this, relay, 0, 0, 1, now + PATIENCE, true);
+                engine.submit(this, relay, 0, 0, 1, now + TIMEOUT_MICROS, true);
             }
             if (engine.openRequestCount() < open) {
                 throw new IllegalStateException("only " + engine.openRequestCount() + " of " + open + " requests are open");
@@ -226,7 +226,7 @@
 
     // ---- Messages
 
-    private void messages() {
+    private void measureMessages() {
         recorder.describe("bytes.list", "a whole list on one line, with its HTTP head", "bytes", "worker");
         recorder.describe("bytes.list.indented", "a whole list, indented, with its HTTP head", "bytes", "worker");
         recorder.describe("bytes.delta", "a delta on one line, with the call for it and both heads", "bytes", "entry");
@@ -235,54 +235,54 @@
         recorder.describe("bytes.request", "clients' requests with a body of 64 bytes, and their answers", "bytes", "request");
         recorder.describe("bytes.metrics", "an answer to GET /metrics", "bytes", "class");
         recorder.describe("bytes.settings", "a configuration file without a list, 3 classes", "bytes", "tenant");
-        for (int size : WORKERS) {
-            recorder.add("bytes.list", size, answered(list(size)));
-            String indented = new GsonBuilder().setPrettyPrinting().create().toJson(JsonParser.parseString(list(size)));
-            recorder.add("bytes.list.indented", size, answered(indented));
+        for (int size : BACKEND_COUNTS) {
+            recorder.add("bytes.list", size, responseBytes(listJson(size)));
+            String indented = new GsonBuilder().setPrettyPrinting().create().toJson(JsonParser.parseString(listJson(size)));
+            recorder.add("bytes.list.indented", size, responseBytes(indented));
         }
         for (int entries : new int[] {1, 10, 236}) {
-            String delta = list(entries).replace("\"complete\":true", "\"complete\":false");
-            recorder.add("bytes.delta", entries, watchCall() + answered(delta));
+            String delta = listJson(entries).replace("\"complete\":true", "\"complete\":false");
+            recorder.add("bytes.delta", entries, watchRequestBytes() + responseBytes(delta));
         }
         for (int probes : new int[] {1, 100}) {
-            recorder.add("bytes.probe", probes, probes * probe());
-            recorder.add("bytes.attempt", probes, probes * attempt());
-            recorder.add("bytes.request", probes, probes * request());
+            recorder.add("bytes.probe", probes, probes * probeBytes());
+            recorder.add("bytes.attempt", probes, probes * attemptBytes());
+            recorder.add("bytes.request", probes, probes * requestBytes());
         }
-        for (int classes : CLASSES) {
+        for (int classes : CLASS_COUNTS) {
             List<String> names = IntStream.range(0, classes).mapToObj(c -> "class" + c).toList();
-            recorder.add("bytes.metrics", classes, answered(new Metrics(names).text()));
+            recorder.add("bytes.metrics", classes, responseBytes(new Metrics(names).text()));
         }
-        for (int tenants : TENANTS) {
-            recorder.add("bytes.settings", tenants, MeasureProcess.configuration("", tenants, true).length());
+        for (int tenants : TENANT_COUNTS) {
+            recorder.add("bytes.settings", tenants, MeasureProcess.configurationJson("", tenants, true).length());
         }
     }
 
-    private static double answered(String body) {
+    private static double responseBytes(String body) {
         byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
         return MessageEncoder.response(200, "OK", "", bytes, true).readableBytes();
     }
 
-    private static double watchCall() {
+    private static double watchRequestBytes() {
         return MessageEncoder.getRequest("/v1/servers?since=123456&timeout_ms=5000", "10.2.0.1:8500").readableBytes();
     }
 
-    private static double probe() {
-        return MessageEncoder.getRequest("/load", "10.1.200.118:5000").readableBytes() + answered("TEXT x0=2, x1=2048, latency_ms=431, qps=2.5");
+    private static double probeBytes() {
+        return MessageEncoder.getRequest("/load", "10.1.200.118:5000").readableBytes() + responseBytes("TEXT x0=2, x1=2048, latency_ms=431, qps=2.5");
     }
 
-    private static double attempt() {
+    private static double attemptBytes() {
         String id = "9b1f03aa5c7e2d41";
         ForwardedRequest relay = new ForwardedRequest(id, "POST /preview/nhan-dan HTTP/1.1", requestHeaders(id), new byte[64], null);
         String started = "{\"id\":\"" + id + "\",\"from\":\"s-0badcafe\",\"state\":\"started\"}\n";
         String done = "{\"id\":\"" + id + "\",\"from\":\"s-0badcafe\",\"state\":\"done\",\"result\":\"" + "r".repeat(64) + "\"}\n";
-        return relay.encode("10.1.200.118:5000", 5000).readableBytes() + answered(started + done);
+        return relay.encode("10.1.200.118:5000", 5000).readableBytes() + responseBytes(started + done);
     }
 
-    private static double request() {
+    private static double requestBytes() {
         String id = "9b1f03aa5c7e2d41";
         return MessageEncoder.message("POST /preview/nhan-dan HTTP/1.1\r\nHost: 10.0.0.4:5000\r\n" + requestHeaders(id)
-            + "X-Timeout: 5000m\r\nContent-Length: 64\r\n", new byte[64]).readableBytes() + answered("r".repeat(64));
+            + "X-Timeout: 5000m\r\nContent-Length: 64\r\n", new byte[64]).readableBytes() + responseBytes("r".repeat(64));
     }
 
     private static String requestHeaders(String id) {
@@ -290,10 +290,10 @@
     }
 
     /** A whole list of so many workers in the platform's form. */
-    static String list(int size) {
+    static String listJson(int size) {
         List<String> members = new ArrayList<>();
         for (int i = 0; i < size; i++) {
-            members.add(MeasureProcess.member(i, "10.1." + i / 256 + '.' + i % 256 + ":5000"));
+            members.add(MeasureProcess.backendJson(i, "10.1." + i / 256 + '.' + i % 256 + ":5000"));
         }
         return "{\"revision\":123456,\"complete\":true,\"members\":[" + String.join(",", members) + "]}";
     }
--- a/src/bench/java/badgermux/capacity/MeasureProcess.java
+++ b/src/bench/java/badgermux/capacity/MeasureProcess.java
@@ -26,21 +26,21 @@
     description = "Measures processes of the built jar: start, idle, lists, requests, probes, connections, reloads.")
 public final class MeasureProcess implements Callable<Integer> {
     private static final String RUN = "process";
-    private static final int[] WORKERS = {8, 60, 600, 2600, 5200, 10_000};
-    private static final int[] TENANTS = {3, 190, 600};
+    private static final int[] BACKEND_COUNTS = {8, 60, 600, 2600, 5200, 10_000};
+    private static final int[] TENANT_COUNTS = {3, 190, 600};
     /** What one run measures. */
     enum Part { ALL, LISTS, SETTINGS, REQUESTS, CONNECTIONS, IDLE }
 
     /** How many requests a process has served before it is measured: its code is interpreted at first. */
-    private static final int[] SERVED = {300, 3000, 20_000};
+    private static final int[] SERVED_COUNTS = {300, 3000, 20_000};
     /** Seconds after its start at which an idle process is watched. */
     private static final int[] AGES_SECONDS = {5, 60, 240};
-    private static final int[] CONNECTIONS = {1, 100, 400};
-    private static final int REQUEST_WORKERS = 60, LISTS = 10, WARM_UP_LISTS = 5, RELOADS = 20, SCRAPES = 200;
-    private static final long SETTLE_MS = 2_000, GAP_MS = 20, PATIENCE_MS = 30_000;
+    private static final int[] CONNECTION_COUNTS = {1, 100, 400};
+    private static final int DEFAULT_BACKEND_COUNT = 60, MEASURED_LIST_COUNT = 10, WARM_UP_LIST_COUNT = 5, RELOAD_COUNT = 20, SCRAPE_COUNT = 200;
+    private static final long SETTLE_MS = 2_000, REQUEST_INTERVAL_MS = 20, EVENT_TIMEOUT_MS = 30_000;
 
     @Option(names = "--slopes", defaultValue = "docs/capacity/slopes.json", description = "The file of slopes.")
-    private Path file;
+    private Path slopesFile;
 
     @Option(names = "--rounds", defaultValue = "3", description = "Processes started for each point.")
     private int rounds;
@@ -54,7 +54,7 @@
     @Option(names = "--part", defaultValue = "ALL", description = "What is measured: ${COMPLETION-CANDIDATES}.")
     private Part part;
 
-    private Recorder recorder;
+    private SlopeRecorder recorder;
     private long nextId = 1;
 
     public static void main(String[] args) {
@@ -63,34 +63,34 @@
     }
 
     @Override public Integer call() throws Exception {
-        recorder = new Recorder(part == Part.ALL ? RUN : RUN + '-' + part.name().toLowerCase(Locale.ROOT));
+        recorder = new SlopeRecorder(part == Part.ALL ? RUN : RUN + '-' + part.name().toLowerCase(Locale.ROOT));
         switch (part) {
             case ALL -> {
-                lists();
-                settings();
+                measureLists();
+                measureSettings();
                 requests();
-                connections();
-                idle();
+                measureConnections();
+                measureIdle();
             }
-            case LISTS -> lists();
-            case SETTINGS -> settings();
+            case LISTS -> measureLists();
+            case SETTINGS -> measureSettings();
             case REQUESTS -> requests();
-            case CONNECTIONS -> connections();
-            case IDLE -> idle();
+            case CONNECTIONS -> measureConnections();
+            case IDLE -> measureIdle();
             default -> throw new IllegalArgumentException("unknown part " + part);
         }
         String command = "src/bench/run badgermux.capacity.MeasureProcess --part " + part + " --rounds " + rounds + " --requests "
             + requests + " --idle-ms " + idleMs;
         String how = "The built jar, started by the line run of deploy/balancer.toml, with stand-ins on loopback. Processor "
             + "time is that of all threads of the process, in user and system mode.";
-        Slopes.read(file).with(recorder.run(command, how), recorder.slopes()).write(file);
+        Slopes.read(slopesFile).withRun(recorder.run(command, how), recorder.slopes()).write(slopesFile);
         return 0;
     }
 
     // ---- What is configured
 
     /** A configuration file; {@code members} are the workers that it knows from before. */
-    static String configuration(String members, int tenants, boolean probes) {
+    static String configurationJson(String members, int tenants, boolean probes) {
         String teams = IntStream.range(0, tenants).mapToObj(t -> "{\"Name\":\"team-" + t + "\",\"QuotaPerS\":5.5}")
             .collect(Collectors.joining(","));
         String classes = IntStream.range(0, 3).mapToObj(c -> "{\"Name\":\"preview" + (c == 0 ? "" : c)
@@ -105,38 +105,38 @@
     }
 
     /** A worker in the platform's form. */
-    static String member(int i, String address) {
+    static String backendJson(int i, String address) {
         return String.format("{\"id\":\"s-%08x\",\"host_port\":\"%s\",\"locality\":\"zone%d\",\"flavor\":\"k\",\"cell\":%d,"
             + "\"phase\":\"SERVING\",\"size\":1.0,\"up_since_ms\":0}", i * 0x9E3779B9, address, i % 11, i / 4);
     }
 
-    private static String members(int count, String address) {
-        return IntStream.range(0, count).mapToObj(i -> member(i, address)).collect(Collectors.joining(","));
+    private static String backendsJson(int count, String address) {
+        return IntStream.range(0, count).mapToObj(i -> backendJson(i, address)).collect(Collectors.joining(","));
     }
 
-    private static String list(int revision, int workers, String address) {
-        return "{\"revision\":" + revision + ",\"complete\":true,\"members\":[" + members(workers, address) + "]}";
+    private static String listJson(int revision, int workers, String address) {
+        return "{\"revision\":" + revision + ",\"complete\":true,\"members\":[" + backendsJson(workers, address) + "]}";
     }
 
-    private static DispatcherProcess start(StandIns peers, int workers, int tenants, boolean probes) throws IOException {
+    private static MeasuredDispatcher startDispatcher(StubServers peers, int workers, int tenants, boolean probes) throws IOException {
         Path configuration = Files.createTempFile("capacity", ".json");
-        Files.writeString(configuration, configuration(members(workers, peers.workerAddress()), tenants, probes));
-        return new DispatcherProcess(configuration, peers.discoveryAddress());
+        Files.writeString(configuration, configurationJson(backendsJson(workers, peers.backendAddress()), tenants, probes));
+        return new MeasuredDispatcher(configuration, peers.discoveryAddress());
     }
 
     // ---- Lists: start, idle, whole lists
 
-    private void lists() throws IOException, InterruptedException {
+    private void measureLists() throws IOException, InterruptedException {
         recorder.describe("cpu.start", "a start with a known list, until it listens and 2 s on", "us", "worker");
         recorder.describe("cpu.idle", "a second without any request, after some lists", "us", "worker");
         recorder.describe("cpu.list.process", "a whole list that is received, decoded and taken over, idle time taken off", "us", "worker");
         recorder.describe("heap.process", "live heap of the process with a list in hand", "bytes", "worker");
         recorder.describe("rss.process", "resident memory of the process after ten whole lists", "bytes", "worker");
         recorder.describe("bytes.log.start", "the log of a start", "bytes", "worker");
-        for (int workers : WORKERS) {
+        for (int workers : BACKEND_COUNTS) {
             double[][] rows = new double[6][rounds];
             for (int round = 0; round < rounds; round++) {
-                double[] row = listRound(workers);
+                double[] row = measureListRound(workers);
                 for (int i = 0; i < row.length; i++) {
                     rows[i][round] = row[i];
                 }
@@ -148,48 +148,48 @@
         }
     }
 
-    private double[] listRound(int workers) throws IOException, InterruptedException {
-        try (StandIns peers = new StandIns(); DispatcherProcess process = start(peers, workers, 3, true)) {
+    private double[] measureListRound(int workers) throws IOException, InterruptedException {
+        try (StubServers peers = new StubServers(); MeasuredDispatcher process = startDispatcher(peers, workers, 3, true)) {
             TimeUnit.MILLISECONDS.sleep(SETTLE_MS);
-            double started = process.cpuSince(Map.of());
+            double started = process.cpuMicrosSince(Map.of());
             long logged = process.logBytes();
-            takeLists(peers, workers, WARM_UP_LISTS);
+            sendLists(peers, workers, WARM_UP_LIST_COUNT);
             long heap = process.liveHeapBytes();
             TimeUnit.MILLISECONDS.sleep(SETTLE_MS);
-            double idlePerMs = idlePerMs(process);
-            Map<Path, Double> before = process.cpu();
+            double idlePerMs = idleCpuMicrosPerMilli(process);
+            Map<Path, Double> before = process.cpuMicrosByThread();
             long from = System.nanoTime();
-            takeLists(peers, workers, LISTS);
-            double list = (process.cpuSince(before) - idlePerMs * (System.nanoTime() - from) / 1e6) / LISTS;
+            sendLists(peers, workers, MEASURED_LIST_COUNT);
+            double list = (process.cpuMicrosSince(before) - idlePerMs * (System.nanoTime() - from) / 1e6) / MEASURED_LIST_COUNT;
             double idle = idlePerMs * 1000;
             return new double[] {started, idle, list, heap, process.residentBytes(), logged};
         }
     }
 
     /** Microseconds of processor time that a process takes in a millisecond without requests. */
-    private double idlePerMs(DispatcherProcess process) throws IOException, InterruptedException {
-        Map<Path, Double> before = process.cpu();
+    private double idleCpuMicrosPerMilli(MeasuredDispatcher process) throws IOException, InterruptedException {
+        Map<Path, Double> before = process.cpuMicrosByThread();
         TimeUnit.MILLISECONDS.sleep(idleMs);
-        return process.cpuSince(before) / idleMs;
+        return process.cpuMicrosSince(before) / idleMs;
     }
 
     /** Sends so many whole lists, one after another, and waits until the next call has come after the last. */
-    private void takeLists(StandIns peers, int workers, int count) throws InterruptedException {
+    private void sendLists(StubServers peers, int workers, int count) throws InterruptedException {
         for (int i = 0; i < count; i++) {
-            long answered = peers.listsAnswered();
-            peers.push(list((int) nextId++ + 10, workers, peers.workerAddress()));
-            awaitAbove(peers::listsAnswered, answered);
-            long calls = peers.calls();
-            awaitAbove(peers::calls, calls - 1);
+            long answered = peers.sentListCount();
+            peers.pushList(listJson((int) nextId++ + 10, workers, peers.backendAddress()));
+            awaitAbove(peers::sentListCount, answered);
+            long calls = peers.watchCount();
+            awaitAbove(peers::watchCount, calls - 1);
             TimeUnit.MILLISECONDS.sleep(100);
         }
     }
 
     private static void awaitAbove(java.util.function.LongSupplier counter, long value) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PATIENCE_MS);
+        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(EVENT_TIMEOUT_MS);
         while (counter.getAsLong() <= value) {
             if (System.nanoTime() > end) {
-                throw new IllegalStateException("waited " + PATIENCE_MS + " ms for an event that did not come");
+                throw new IllegalStateException("waited " + EVENT_TIMEOUT_MS + " ms for an event that did not come");
             }
             TimeUnit.MILLISECONDS.sleep(2);
         }
@@ -197,18 +197,18 @@
 
     // ---- Settings: start and reload by tenants, operators' figures
 
-    private void settings() throws IOException, InterruptedException {
+    private void measureSettings() throws IOException, InterruptedException {
         recorder.describe("cpu.start.tenants", "a start with 60 workers known, until it listens and 2 s on", "us", "tenant");
         recorder.describe("cpu.reload", "a SIGHUP, on which the file is reread", "us", "tenant");
         recorder.describe("cpu.metrics", "a GET /metrics on a connection of its own", "us", "tenant");
-        for (int tenants : TENANTS) {
+        for (int tenants : TENANT_COUNTS) {
             double[][] rows = new double[3][rounds];
             for (int round = 0; round < rounds; round++) {
-                try (StandIns peers = new StandIns(); DispatcherProcess process = start(peers, REQUEST_WORKERS, tenants, true)) {
+                try (StubServers peers = new StubServers(); MeasuredDispatcher process = startDispatcher(peers, DEFAULT_BACKEND_COUNT, tenants, true)) {
                     TimeUnit.MILLISECONDS.sleep(SETTLE_MS);
-                    rows[0][round] = process.cpuSince(Map.of());
-                    rows[1][round] = reloads(process);
-                    rows[2][round] = scrapes(process);
+                    rows[0][round] = process.cpuMicrosSince(Map.of());
+                    rows[1][round] = cpuMicrosPerReload(process);
+                    rows[2][round] = cpuMicrosPerScrape(process);
                 }
             }
             recorder.add("cpu.start.tenants", tenants, rows[0]);
@@ -217,53 +217,53 @@
         }
     }
 
-    private static double reloads(DispatcherProcess process) throws IOException, InterruptedException {
-        Map<Path, Double> before = process.cpu();
-        for (int i = 0; i < RELOADS; i++) {
+    private static double cpuMicrosPerReload(MeasuredDispatcher process) throws IOException, InterruptedException {
+        Map<Path, Double> before = process.cpuMicrosByThread();
+        for (int i = 0; i < RELOAD_COUNT; i++) {
             long lines = process.logLines();
-            process.hangUp();
+            process.sendHangUp();
             awaitAbove(process::logLines, lines);
         }
-        return process.cpuSince(before) / RELOADS;
+        return process.cpuMicrosSince(before) / RELOAD_COUNT;
     }
 
-    private static double scrapes(DispatcherProcess process) throws IOException {
-        Map<Path, Double> before = process.cpu();
-        for (int i = 0; i < SCRAPES; i++) {
+    private static double cpuMicrosPerScrape(MeasuredDispatcher process) throws IOException {
+        Map<Path, Double> before = process.cpuMicrosByThread();
+        for (int i = 0; i < SCRAPE_COUNT; i++) {
             process.metrics();
         }
-        return process.cpuSince(before) / SCRAPES;
+        return process.cpuMicrosSince(before) / SCRAPE_COUNT;
     }
 
     // ---- Idle time by age
 
-    private void idle() throws IOException, InterruptedException {
+    private void measureIdle() throws IOException, InterruptedException {
         recorder.describe("cpu.idle.age", "a second without any request, 60 workers, by the age of the process", "us", "second");
-        List<StandIns> peers = new ArrayList<>();
-        List<DispatcherProcess> processes = new ArrayList<>();
+        List<StubServers> peers = new ArrayList<>();
+        List<MeasuredDispatcher> processes = new ArrayList<>();
         for (int round = 0; round < rounds; round++) {
-            peers.add(new StandIns());
-            processes.add(start(peers.get(round), REQUEST_WORKERS, 3, true));
+            peers.add(new StubServers());
+            processes.add(startDispatcher(peers.get(round), DEFAULT_BACKEND_COUNT, 3, true));
         }
         long from = System.nanoTime();
         for (int age : AGES_SECONDS) {
             TimeUnit.NANOSECONDS.sleep(from + TimeUnit.SECONDS.toNanos(age) - System.nanoTime());
-            recorder.add("cpu.idle.age", age, idlePerSecond(processes));
+            recorder.add("cpu.idle.age", age, idleCpuMicrosPerSecond(processes));
         }
-        processes.forEach(DispatcherProcess::close);
-        peers.forEach(StandIns::close);
+        processes.forEach(MeasuredDispatcher::close);
+        peers.forEach(StubServers::close);
     }
 
     /** Of several processes, in the same seconds. */
-    private double[] idlePerSecond(List<DispatcherProcess> processes) throws IOException, InterruptedException {
+    private double[] idleCpuMicrosPerSecond(List<MeasuredDispatcher> processes) throws IOException, InterruptedException {
         List<Map<Path, Double>> before = new ArrayList<>();
-        for (DispatcherProcess process : processes) {
-            before.add(process.cpu());
+        for (MeasuredDispatcher process : processes) {
+            before.add(process.cpuMicrosByThread());
         }
         TimeUnit.MILLISECONDS.sleep(idleMs);
         double[] result = new double[processes.size()];
         for (int i = 0; i < result.length; i++) {
-            result[i] = processes.get(i).cpuSince(before.get(i)) / idleMs * 1000;
+            result[i] = processes.get(i).cpuMicrosSince(before.get(i)) / idleMs * 1000;
         }
         return result;
     }
@@ -276,11 +276,11 @@
         recorder.describe("cpu.request.probing", "a request through a process that probes, 50 a second, idle time taken off", "us",
             "request served before");
         recorder.describe("probes.process", "probes for a request, 50 a second at 60 workers", "probes", "request served before");
-        for (int served : SERVED) {
+        for (int served : SERVED_COUNTS) {
             double[] silent = new double[rounds], probing = new double[rounds], probes = new double[rounds];
             for (int round = 0; round < rounds; round++) {
-                silent[round] = requestRound(served, false)[0];
-                double[] both = requestRound(served, true);
+                silent[round] = measureRequestRound(served, false)[0];
+                double[] both = measureRequestRound(served, true);
                 probing[round] = both[0];
                 probes[round] = both[1];
             }
@@ -290,36 +290,36 @@
         }
     }
 
-    private double[] requestRound(int served, boolean probes) throws IOException, InterruptedException {
-        try (StandIns peers = new StandIns(); DispatcherProcess process = start(peers, REQUEST_WORKERS, 3, probes);
+    private double[] measureRequestRound(int served, boolean probes) throws IOException, InterruptedException {
+        try (StubServers peers = new StubServers(); MeasuredDispatcher process = startDispatcher(peers, DEFAULT_BACKEND_COUNT, 3, probes);
                 Socket client = new Socket("127.0.0.1", process.port())) {
             client.setTcpNoDelay(true);
-            ask(client, served, 0);
+            sendRequests(client, served, 0);
             TimeUnit.MILLISECONDS.sleep(SETTLE_MS);
-            double idlePerMs = idlePerMs(process);
-            long asked = peers.probes();
-            Map<Path, Double> before = process.cpu();
+            double idlePerMs = idleCpuMicrosPerMilli(process);
+            long asked = peers.probeCount();
+            Map<Path, Double> before = process.cpuMicrosByThread();
             long from = System.nanoTime();
-            ask(client, requests, GAP_MS);
-            double taken = process.cpuSince(before) - idlePerMs * (System.nanoTime() - from) / 1e6;
-            return new double[] {taken / requests, (double) (peers.probes() - asked) / requests};
+            sendRequests(client, requests, REQUEST_INTERVAL_MS);
+            double taken = process.cpuMicrosSince(before) - idlePerMs * (System.nanoTime() - from) / 1e6;
+            return new double[] {taken / requests, (double) (peers.probeCount() - asked) / requests};
         }
     }
 
     /** So many requests, one each {@code gapMs}, or as soon as the one before is answered where that takes longer. */
-    private void ask(Socket client, int count, long gapMs) throws IOException, InterruptedException {
+    private void sendRequests(Socket client, int count, long gapMs) throws IOException, InterruptedException {
         long next = System.nanoTime();
         for (int i = 0; i < count; i++) {
             String head = String.format("POST /preview/a HTTP/1.1\r\nHost: h\r\nX-Request-ID: %016x\r\nX-Timeout: 5000m\r\n"
                 + "X-Tenant-Id: team-1\r\nContent-Length: 64\r\n\r\n", nextId++);
             client.getOutputStream().write((head + "b".repeat(64)).getBytes(StandardCharsets.ISO_8859_1));
-            skipAnswer(client.getInputStream());
+            readResponse(client.getInputStream());
             next += TimeUnit.MILLISECONDS.toNanos(gapMs);
             TimeUnit.NANOSECONDS.sleep(Math.max(0, next - System.nanoTime()));
         }
     }
 
-    private static void skipAnswer(InputStream in) throws IOException {
+    private static void readResponse(InputStream in) throws IOException {
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
             int read = in.read();
@@ -336,17 +336,17 @@
 
     // ---- Connections
 
-    private void connections() throws IOException, InterruptedException {
+    private void measureConnections() throws IOException, InterruptedException {
         recorder.describe("heap.connection", "live heap of the process with idle client connections", "bytes", "connection");
-        for (int count : CONNECTIONS) {
+        for (int count : CONNECTION_COUNTS) {
             double[] heap = new double[rounds];
             for (int round = 0; round < rounds; round++) {
-                try (StandIns peers = new StandIns(); DispatcherProcess process = start(peers, REQUEST_WORKERS, 3, false)) {
+                try (StubServers peers = new StubServers(); MeasuredDispatcher process = startDispatcher(peers, DEFAULT_BACKEND_COUNT, 3, false)) {
                     List<Socket> clients = new ArrayList<>();
                     for (int i = 0; i < count; i++) {
                         Socket client = new Socket("127.0.0.1", process.port());
                         clients.add(client);
-                        ask(client, 1, 0);
+                        sendRequests(client, 1, 0);
                     }
                     heap[round] = process.liveHeapBytes();
                     for (Socket client : clients) {
--- a/src/bench/java/badgermux/capacity/DispatcherProcess.java
+++ b/src/bench/java/badgermux/capacity/MeasuredDispatcher.java
@@ -15,9 +15,9 @@
 import java.util.stream.Stream;
 
 /** One dispatcher of the built jar, started by the line {@code run} of the deploy file. */
-final class DispatcherProcess implements AutoCloseable {
-    private static final Pattern RUN = Pattern.compile("^run = \"exec (.*)\"$", Pattern.MULTILINE);
-    private static final int END_SECONDS = 10;
+final class MeasuredDispatcher implements AutoCloseable {
+    private static final Pattern RUN_LINE = Pattern.compile("^run = \"exec (.*)\"$", Pattern.MULTILINE);
+    private static final int COMMAND_TIMEOUT_SECONDS = 10;
 
     private final Process process;
     private final int port;
@@ -25,8 +25,8 @@
     private final AtomicLong logLines = new AtomicLong();
 
     /** Starts it on a configuration file and waits until it listens. */
-    DispatcherProcess(Path configuration, String discovery) throws IOException {
-        Matcher run = RUN.matcher(Files.readString(Path.of("deploy", "balancer.toml")));
+    MeasuredDispatcher(Path configuration, String discovery) throws IOException {
+        Matcher run = RUN_LINE.matcher(Files.readString(Path.of("deploy", "balancer.toml")));
         if (!run.find()) {
             throw new IOException("deploy/balancer.toml has no run");
         }
@@ -78,7 +78,7 @@
     }
 
     /** Processor time of each of its threads since the start, in microseconds. */
-    Map<Path, Double> cpu() throws IOException {
+    Map<Path, Double> cpuMicrosByThread() throws IOException {
         Map<Path, Double> byThread = new HashMap<>();
         try (Stream<Path> tasks = Files.list(Path.of("/proc/" + process.pid() + "/task"))) {
             for (Path task : tasks.toList()) {
@@ -88,9 +88,9 @@
         return byThread;
     }
 
-    /** Microseconds of processor time since {@link #cpu}; what threads that ended meanwhile took is left out. */
-    double cpuSince(Map<Path, Double> before) throws IOException {
-        return cpu().entrySet().stream().mapToDouble(e -> e.getValue() - before.getOrDefault(e.getKey(), 0.0)).sum();
+    /** Microseconds of processor time since {@link #cpuMicrosByThread}; what threads that ended meanwhile took is left out. */
+    double cpuMicrosSince(Map<Path, Double> before) throws IOException {
+        return cpuMicrosByThread().entrySet().stream().mapToDouble(e -> e.getValue() - before.getOrDefault(e.getKey(), 0.0)).sum();
     }
 
     /** Resident memory in bytes. */
@@ -114,13 +114,13 @@
     private String jcmd(String command) throws IOException, InterruptedException {
         Process call = new ProcessBuilder("jcmd", String.valueOf(process.pid()), command).redirectErrorStream(true).start();
         String text = new String(call.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        call.waitFor(END_SECONDS, TimeUnit.SECONDS);
+        call.waitFor(COMMAND_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         return text;
     }
 
     /** Sends SIGHUP. */
-    void hangUp() throws IOException, InterruptedException {
-        new ProcessBuilder("kill", "-HUP", String.valueOf(process.pid())).start().waitFor(END_SECONDS, TimeUnit.SECONDS);
+    void sendHangUp() throws IOException, InterruptedException {
+        new ProcessBuilder("kill", "-HUP", String.valueOf(process.pid())).start().waitFor(COMMAND_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
     /** The counters, as GET /metrics gives them. */
--- a/src/bench/java/badgermux/capacity/Recorder.java
+++ b/src/bench/java/badgermux/capacity/SlopeRecorder.java
@@ -11,7 +11,7 @@
 import org.apache.commons.math3.stat.regression.OLSMultipleLinearRegression;
 
 /** Collects what a run measures and fits a line through the points of each cost. */
-final class Recorder {
+final class SlopeRecorder {
     /** A cost by size, while it is measured. */
     private record Series(String what, String unit, String per, List<Slope.Point> points) { }
 
@@ -19,7 +19,7 @@
     private final Map<String, Series> series = new LinkedHashMap<>();
 
     /** Records for a run of this name. */
-    Recorder(String run) {
+    SlopeRecorder(String run) {
         this.run = run;
     }
 
@@ -33,8 +33,8 @@
         double[] sorted = rounds.clone();
         Arrays.sort(sorted);
         double median = (sorted[(sorted.length - 1) / 2] + sorted[sorted.length / 2]) / 2;
-        Slope.Point point = new Slope.Point(size, sorted.length, rounded(median), rounded(sorted[0]),
-            rounded(sorted[sorted.length - 1]));
+        Slope.Point point = new Slope.Point(size, sorted.length, roundToFourDigits(median), roundToFourDigits(sorted[0]),
+            roundToFourDigits(sorted[sorted.length - 1]));
         series.get(name).points.add(point);
         System.out.printf(Locale.ROOT, "%-22s %8.0f %12.3f  (%.3f to %.3f)%n", name, size, median, sorted[0],
             sorted[sorted.length - 1]);
@@ -42,7 +42,7 @@
 
     /** The slopes, each with its fitted line. */
     List<Slope> slopes() {
-        return series.entrySet().stream().map(e -> slope(e.getKey(), e.getValue())).toList();
+        return series.entrySet().stream().map(e -> fitSlope(e.getKey(), e.getValue())).toList();
     }
 
     /** This run's entry, dated now. */
@@ -53,19 +53,19 @@
         return new Slopes.Run(run, command, Instant.now().truncatedTo(ChronoUnit.SECONDS).toString(), machine, how);
     }
 
-    private Slope slope(String name, Series of) {
-        double[] line = fit(of.points);
+    private Slope fitSlope(String name, Series of) {
+        double[] line = fitLine(of.points);
         double squares = 0;
         for (Slope.Point point : of.points) {
             double error = (line[0] + line[1] * point.size() - point.median()) / point.median();
             squares += error * error;
         }
         double error = Math.sqrt(squares / of.points.size());
-        return new Slope(name, of.what, of.unit, of.per, run, of.points, rounded(line[0]), rounded(line[1]), rounded(error));
+        return new Slope(name, of.what, of.unit, of.per, run, of.points, roundToFourDigits(line[0]), roundToFourDigits(line[1]), roundToFourDigits(error));
     }
 
     /** Base and slope with the least sum of squared relative errors: each point weighs by its own size of cost. */
-    private static double[] fit(List<Slope.Point> points) {
+    private static double[] fitLine(List<Slope.Point> points) {
         if (points.size() == 1) {
             return new double[] {points.get(0).median(), 0};
         }
@@ -87,7 +87,7 @@
         return regression.estimateRegressionParameters();
     }
 
-    private static double rounded(double value) {
+    private static double roundToFourDigits(double value) {
         return Double.parseDouble(String.format(Locale.ROOT, "%.4g", value));
     }
 }
--- a/src/bench/java/badgermux/capacity/StandIns.java
+++ b/src/bench/java/badgermux/capacity/StubServers.java
@@ -13,31 +13,31 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /** A discovery service and a worker on loopback, for one dispatcher of the built jar. */
-final class StandIns implements AutoCloseable {
-    private static final String REPORT = "TEXT x0=4, x1=2048, latency_ms=20, qps=2.5";
+final class StubServers implements AutoCloseable {
+    private static final String LOAD_REPORT = "TEXT x0=4, x1=2048, latency_ms=20, qps=2.5";
 
     private final HttpServer discovery;
-    private final HttpServer worker;
+    private final HttpServer backend;
     private final ExecutorService threads = Executors.newCachedThreadPool();
-    private final BlockingQueue<String> lists = new LinkedBlockingQueue<>();
-    private final AtomicLong answered = new AtomicLong();
-    private final AtomicLong probes = new AtomicLong();
-    private final AtomicLong calls = new AtomicLong();
+    private final BlockingQueue<String> pendingLists = new LinkedBlockingQueue<>();
+    private final AtomicLong sentListCount = new AtomicLong();
+    private final AtomicLong probeCount = new AtomicLong();
+    private final AtomicLong watchCount = new AtomicLong();
 
-    StandIns() throws IOException {
-        discovery = listen();
-        discovery.createContext("/v1/servers", this::discover);
-        worker = listen();
-        worker.createContext("/load", exchange -> {
-            probes.incrementAndGet();
-            reply(exchange, REPORT);
+    StubServers() throws IOException {
+        discovery = createServer();
+        discovery.createContext("/v1/servers", this::answerWatch);
+        backend = createServer();
+        backend.createContext("/load", exchange -> {
+            probeCount.incrementAndGet();
+            reply(exchange, LOAD_REPORT);
         });
-        worker.createContext("/", this::work);
+        backend.createContext("/", this::answerRequest);
         discovery.start();
-        worker.start();
+        backend.start();
     }
 
-    private HttpServer listen() throws IOException {
+    private HttpServer createServer() throws IOException {
         HttpServer server = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 1024);
         server.setExecutor(threads);
         return server;
@@ -49,47 +49,47 @@
     }
 
     /** Where the worker answers. */
-    String workerAddress() {
-        return "127.0.0.1:" + worker.getAddress().getPort();
+    String backendAddress() {
+        return "127.0.0.1:" + backend.getAddress().getPort();
     }
 
     /** Has discovery answer the next call with this list. */
-    void push(String list) {
-        lists.add(list);
+    void pushList(String list) {
+        pendingLists.add(list);
     }
 
     /** How many lists were written whole. */
-    long listsAnswered() {
-        return answered.get();
+    long sentListCount() {
+        return sentListCount.get();
     }
 
     /** How many probes came. */
-    long probes() {
-        return probes.get();
+    long probeCount() {
+        return probeCount.get();
     }
 
     /** How many calls for the list came. */
-    long calls() {
-        return calls.get();
+    long watchCount() {
+        return watchCount.get();
     }
 
     /** A watch: the next list that is pushed, or an answer without entries when its time is up. */
-    private void discover(HttpExchange exchange) throws IOException {
-        calls.incrementAndGet();
+    private void answerWatch(HttpExchange exchange) throws IOException {
+        watchCount.incrementAndGet();
         String query = exchange.getRequestURI().getQuery();
         long timeout = Long.parseLong(query.replaceAll(".*timeout_ms=", ""));
         String since = query.replaceAll(".*since=(\\d+).*", "$1");
         try {
-            String list = lists.poll(timeout, TimeUnit.MILLISECONDS);
+            String list = pendingLists.poll(timeout, TimeUnit.MILLISECONDS);
             reply(exchange, list != null ? list : "{\"revision\":" + since + ",\"complete\":false,\"members\":[]}");
-            answered.addAndGet(list == null ? 0 : 1);
+            sentListCount.addAndGet(list == null ? 0 : 1);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
     /** A job that starts and is done at once. */
-    private void work(HttpExchange exchange) throws IOException {
+    private void answerRequest(HttpExchange exchange) throws IOException {
         exchange.getRequestBody().readAllBytes();
         String id = exchange.getRequestHeaders().getFirst("X-Request-ID");
         reply(exchange, "{\"id\":\"" + id + "\",\"from\":\"s\",\"state\":\"started\"}\n{\"id\":\"" + id
@@ -105,7 +105,7 @@
 
     @Override public void close() {
         discovery.stop(0);
-        worker.stop(0);
+        backend.stop(0);
         threads.shutdownNow();
     }
 }
--- a/src/bench/java/badgermux/it/Rehearsal.java
+++ b/src/bench/java/badgermux/it/Rehearsal.java
@@ -20,28 +20,28 @@
     public static void main(String[] args) throws IOException, InterruptedException {
         Path list = Path.of(args[0]);
         Path met = Files.createTempFile("classes", ".lst");
-        play(met);
+        runScenario(met);
         List<String> lines = new ArrayList<>(Files.readAllLines(met));
-        Set<String> names = lines.stream().map(Rehearsal::name).collect(Collectors.toSet());
+        Set<String> names = lines.stream().map(Rehearsal::className).collect(Collectors.toSet());
         // What the virtual machine makes up by itself has other names in each run.
-        Files.readAllLines(list).stream().map(Rehearsal::name)
+        Files.readAllLines(list).stream().map(Rehearsal::className)
             .filter(name -> !name.matches("[@#].*|.*\\$(Proxy|\\$Lambda|MH|DMH).*") && names.add(name)).forEach(lines::add);
         Files.write(list, lines);
     }
 
-    private static String name(String line) {
+    private static String className(String line) {
         return line.split(" ", 2)[0];
     }
 
-    private static void play(Path list) throws IOException, InterruptedException {
+    private static void runScenario(Path list) throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("rehearsal");
         String settings = Program.SETTINGS.replace("{\"How\":\"silent\",\"Columns\":[]}",
             "{\"How\":\"pull\",\"Columns\":[\"x0\",\"x1\",\"recent_ms\",\"throughput\"]}")
             .replace("\"Ceilings\":{", "\"Ceilings\":{\"Probes\":true,\"ParallelTries\":true,");
-        String command = Program.command().replaceAll("-Xshare:\\S+ -XX:SharedArchiveFile=\\S+",
+        String command = Program.runCommand().replaceAll("-Xshare:\\S+ -XX:SharedArchiveFile=\\S+",
             "-Xshare:off -XX:DumpLoadedClassList=" + list);
-        try (Peer one = new Peer(); Peer two = new Peer();
-                Program program = Program.onCall(command, folder, Program.member("s-1", one, "east", "SERVING"), 1024, settings)) {
+        try (FakeServer one = new FakeServer(); FakeServer two = new FakeServer();
+                Program program = Program.startWithConsole(command, folder, Program.member("s-1", one, "east", "SERVING"), 1024, settings)) {
             program.discovery.take().reply("200 OK", "{\"revision\":2,\"complete\":false,\"members\":["
                 + Program.member("s-2", two, "west", "SERVING") + "]}");
             program.discovery.take();
@@ -49,37 +49,37 @@
                 client.get("/healthz");
                 for (String way : new String[] {"done", "returned", "lost", "failed", "done", "done"}) {
                     client.send(Client.request(way.equals("failed") ? "/pay/x" : "/preview/x", "4000m", "", "b"));
-                    answer(one, two, way);
+                    respond(one, two, way);
                     client.read();
                 }
                 client.get("/metrics");
             }
-            program.call("HEALTH");
-            program.call("DUMP");
+            program.callConsole("HEALTH");
+            program.callConsole("DUMP");
             program.process.destroy();
-            program.process.waitFor(Peer.PATIENCE_S, TimeUnit.SECONDS);
+            program.process.waitFor(FakeServer.TIMEOUT_SECONDS, TimeUnit.SECONDS);
         }
     }
 
     /** Answers all probes, and the first attempt in the given way; an attempt that follows it is served. */
-    private static void answer(Peer one, Peer two, String way) throws IOException, InterruptedException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Peer.PATIENCE_S);
+    private static void respond(FakeServer one, FakeServer two, String way) throws IOException, InterruptedException {
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakeServer.TIMEOUT_SECONDS);
         boolean first = true;
         while (System.nanoTime() < end) {
-            Peer.Call call = one.peek();
-            call = call == null ? two.peek() : call;
+            FakeServer.Exchange call = one.poll();
+            call = call == null ? two.poll() : call;
             if (call == null) {
                 Thread.onSpinWait();
             } else if (call.head.startsWith("GET")) {
                 call.reply("200 OK\r\nX-Server-Load: TEXT x0=2", "TEXT x0=2, x1=2, recent_ms=100, throughput=1");
             } else if (first && !way.equals("done")) {
                 first = false;
-                call.accept().line(way, "").end();
+                call.sendStarted().sendLine(way, "").endResponse();
                 if (way.equals("failed")) {
                     return;
                 }
             } else {
-                call.done("r");
+                call.sendResult("r");
                 return;
             }
         }
--- a/src/lab/java/badgermux/lab/Policies.java
+++ b/src/lab/java/badgermux/lab/ComparedPolicies.java
@@ -11,8 +11,8 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /** The policies that are compared, each the real module with other limits. */
-final class Policies {
-    private Policies() { }
+final class ComparedPolicies {
+    private ComparedPolicies() { }
 
     /** By name: zones, and what they are measured against. */
     static Map<String, BiFunction<DispatchPolicy.Settings, UniformRandomProvider, DispatchPolicy.ZoneLimits>> all(int zones) {
@@ -41,27 +41,27 @@
     }
 
     /** No limits at all; what others build on. */
-    private abstract static class Plain implements DispatchPolicy.ZoneLimits {
-        final int own;
-        final int zones;
-        final Map<Long, Integer> ready = new HashMap<>();
+    private abstract static class NoLimits implements DispatchPolicy.ZoneLimits {
+        final int ownZone;
+        final int zoneCount;
+        final Map<Long, Integer> zoneByReadyBackend = new HashMap<>();
         final int[] readyByZone;
 
-        Plain(int own, int zones) {
-            this.own = own;
-            this.zones = zones;
+        NoLimits(int own, int zones) {
+            this.ownZone = own;
+            this.zoneCount = zones;
             readyByZone = new int[zones];
         }
 
         @Override public void backendsListed(long now, DispatchPolicy.ListUpdate update, List<DispatchPolicy.Backend> workers) {
             for (DispatchPolicy.Backend worker : workers) {
                 boolean is = worker.state() == DispatchPolicy.BackendState.READY;
-                boolean was = ready.containsKey(worker.id());
+                boolean was = zoneByReadyBackend.containsKey(worker.id());
                 if (is && !was) {
-                    ready.put(worker.id(), worker.zone());
+                    zoneByReadyBackend.put(worker.id(), worker.zone());
                     readyByZone[worker.zone()]++;
                 } else if (!is && was) {
-                    ready.remove(worker.id());
+                    zoneByReadyBackend.remove(worker.id());
                     readyByZone[worker.zone()]--;
                 }
             }
@@ -96,7 +96,7 @@
     }
 
     /** The own zone while the list has a ready node there, then the others. */
-    private static final class ListFailover extends Plain {
+    private static final class ListFailover extends NoLimits {
         ListFailover(int own, int zones) {
             super(own, zones);
         }
@@ -106,11 +106,11 @@
         }
 
         @Override public int tierOf(int jobClass, int zone) {
-            return zone == own ? 0 : 1;
+            return zone == ownZone ? 0 : 1;
         }
 
         @Override public boolean isTierOpen(long now, DispatchPolicy.Request job, boolean repeatable, int tier) {
-            return (tier == 0) == (readyByZone[own] > 0);
+            return (tier == 0) == (readyByZone[ownZone] > 0);
         }
 
         @Override public boolean admits(long now, DispatchPolicy.Request job, boolean repeatable, int attempts,
@@ -125,23 +125,23 @@
      * their ejections, at most 10% of them (at least one) at a time; under 50% of health in all, panic: all hosts are
      * used.
      */
-    private static final class EnvoyLike extends Plain {
+    private static final class EnvoyLike extends NoLimits {
         private final Map<Long, int[]> failures = new HashMap<>();
-        private final Map<Long, Long> ejected = new HashMap<>();
+        private final Map<Long, Long> ejectedUntil = new HashMap<>();
         private final UniformRandomProvider random;
-        private final Map<Long, Boolean> home = new HashMap<>();
-        private final int[] usual;
+        private final Map<Long, Boolean> staysHomeById = new HashMap<>();
+        private final int[] maxReadyByZone;
 
         EnvoyLike(int own, int zones, UniformRandomProvider random) {
             super(own, zones);
             this.random = random;
-            usual = new int[zones];
+            maxReadyByZone = new int[zones];
         }
 
         private double health(int zone) {
-            usual[zone] = Math.max(usual[zone], readyByZone[zone]);
-            long out = ejected.keySet().stream().filter(id -> ready.getOrDefault(id, -1) == zone).count();
-            return usual[zone] == 0 ? 0 : (readyByZone[zone] - out) / (double) usual[zone];
+            maxReadyByZone[zone] = Math.max(maxReadyByZone[zone], readyByZone[zone]);
+            long out = ejectedUntil.keySet().stream().filter(id -> zoneByReadyBackend.getOrDefault(id, -1) == zone).count();
+            return maxReadyByZone[zone] == 0 ? 0 : (readyByZone[zone] - out) / (double) maxReadyByZone[zone];
         }
 
         @Override public int tierCount() {
@@ -149,21 +149,21 @@
         }
 
         @Override public int tierOf(int jobClass, int zone) {
-            return zone == own ? 0 : 1;
+            return zone == ownZone ? 0 : 1;
         }
 
         @Override public boolean isTierOpen(long now, DispatchPolicy.Request job, boolean repeatable, int tier) {
-            boolean stays = home.computeIfAbsent(job.id(), id -> random.nextDouble() < 1.4 * health(own));
+            boolean stays = staysHomeById.computeIfAbsent(job.id(), id -> random.nextDouble() < 1.4 * health(ownZone));
             return stays == (tier == 0);
         }
 
         @Override public boolean admits(long now, DispatchPolicy.Request job, boolean repeatable, int attempts,
                 DispatchPolicy.Backend worker, double load, int tier) {
             double healthy = 0;
-            for (int z = 0; z < zones; z++) {
-                healthy += health(z) / zones;
+            for (int z = 0; z < zoneCount; z++) {
+                healthy += health(z) / zoneCount;
             }
-            return healthy < 0.5 || !ejected.containsKey(worker.id());
+            return healthy < 0.5 || !ejectedUntil.containsKey(worker.id());
         }
 
         @Override public void attemptEnded(long now, DispatchPolicy.Request job, int attempt, DispatchPolicy.Backend worker,
@@ -173,18 +173,18 @@
             }
             int[] state = failures.computeIfAbsent(worker.id(), id -> new int[2]);
             state[0] = outcome == DispatchPolicy.Outcome.SERVED || outcome == DispatchPolicy.Outcome.REJECTED ? 0 : state[0] + 1;
-            if (state[0] >= 5 && !ejected.containsKey(worker.id())
-                    && ejected.size() < Math.max(1, ready.size() / 10)) {
+            if (state[0] >= 5 && !ejectedUntil.containsKey(worker.id())
+                    && ejectedUntil.size() < Math.max(1, zoneByReadyBackend.size() / 10)) {
                 state[1]++;
                 state[0] = 0;
-                ejected.put(worker.id(), now + 30_000_000L * state[1]);
+                ejectedUntil.put(worker.id(), now + 30_000_000L * state[1]);
             }
         }
 
         @Override public List<Long> runPeriodicCheck(long now) {
-            ejected.values().removeIf(until -> until <= now);
-            if (home.size() > 100_000) {
-                home.clear();
+            ejectedUntil.values().removeIf(until -> until <= now);
+            if (staysHomeById.size() > 100_000) {
+                staysHomeById.clear();
             }
             return List.of();
         }
--- a/src/lab/java/badgermux/lab/Scenario.java
+++ b/src/lab/java/badgermux/lab/Scenario.java
@@ -6,67 +6,67 @@
 /** What a run consists of. Spans are in seconds. */
 final class Scenario {
     /** A zone's nodes: gone at {@code from}, started anew, cold, at {@code to}. */
-    record Loss(int zone, double from, double to) { }
+    record Loss(int zone, double startSeconds, double endSeconds) { }
 
     String name = "loss";
     int zones = 2;
-    int nodesPerZone = 7;
+    int backendsPerZone = 7;
     int dispatchersPerZone = 2;
     /** Work that comes, against what the nodes of all zones but one can do. */
     double load = 1.0;
-    double length = 80;
+    double durationSeconds = 80;
     final List<Loss> losses = new ArrayList<>();
     /** Whether lost nodes fall silent (a cut cable, a dark hall) or refuse connections (dead processes). */
-    boolean silent = true;
+    boolean isLossSilent = true;
     /** Whether a cold node counts what its class needs on average, not what the very job turns out to need. */
-    boolean fellByMean;
+    boolean countsMeanWork;
     /** Whether nodes of the slower kind run what was cancelled while it waited there. */
-    boolean deaf;
+    boolean ignoresCancel;
     /** How old a report is, in microseconds, when it can be had. */
-    long reportLag;
+    long reportLagMicros;
     /** The part of the jobs of wide classes that need two slots. */
-    double wide = 0.5;
+    double twoSlotShare = 0.5;
     /** The dispatcher of this number starts anew at this time; -1 for none. */
-    int restarted = -1;
-    double restartAt;
+    int restartedDispatcher = -1;
+    double restartAtSeconds;
     /** How late the list is, at least and at most. */
-    double listLeast = 1;
-    double listMost = 14;
+    double minListDelaySeconds = 1;
+    double maxListDelaySeconds = 14;
 
     /** All dispatchers are started anew, a tenth at a time, from {@code rollFrom} to {@code rollTo}; none where 0. */
-    double rollFrom;
-    double rollTo;
+    double rollStartSeconds;
+    double rollEndSeconds;
     /** Whether reports tell how long jobs ran lately. */
-    boolean tellsRuns;
+    boolean reportsRunTimes;
     /** Whether one that is started anew goes on from what it has learnt before. */
-    boolean heirs;
+    boolean keepsLearnedState;
     /** This part of the nodes is replaced in six steps, from {@code swapFrom} to {@code swapTo}, by cold ones of other ids. */
-    double swapped;
-    double swapFrom;
-    double swapTo;
+    double replacedShare;
+    double replaceStartSeconds;
+    double replaceEndSeconds;
     /** This part of the nodes starts when the run begins, as all dispatchers do. */
-    double coldAtFirst;
+    double initialColdShare;
 
-    Scenario named(String to) {
+    Scenario withName(String to) {
         name = to;
         return this;
     }
 
-    Scenario lose(int zone, double from, double to) {
+    Scenario withLoss(int zone, double from, double to) {
         losses.add(new Loss(zone, from, to));
         return this;
     }
 
-    Scenario roll(double from, double to) {
-        rollFrom = from;
-        rollTo = to;
+    Scenario withRollingRestart(double from, double to) {
+        rollStartSeconds = from;
+        rollEndSeconds = to;
         return this;
     }
 
-    Scenario swap(double share, double from, double to) {
-        swapped = share;
-        swapFrom = from;
-        swapTo = to;
+    Scenario withReplacement(double share, double from, double to) {
+        replacedShare = share;
+        replaceStartSeconds = from;
+        replaceEndSeconds = to;
         return this;
     }
 
@@ -75,16 +75,16 @@
         return this;
     }
 
-    Scenario size(int ofZones, int nodes, int dispatchers) {
+    Scenario withSize(int ofZones, int nodes, int dispatchers) {
         zones = ofZones;
-        nodesPerZone = nodes;
+        backendsPerZone = nodes;
         dispatchersPerZone = dispatchers;
         return this;
     }
 
-    Scenario restart(int dispatcher, double at) {
-        restarted = dispatcher;
-        restartAt = at;
+    Scenario withRestart(int dispatcher, double at) {
+        restartedDispatcher = dispatcher;
+        restartAtSeconds = at;
         return this;
     }
 }
--- a/src/lab/java/badgermux/scale/DiscoveryServer.java
+++ b/src/lab/java/badgermux/scale/DiscoveryServer.java
@@ -29,14 +29,14 @@
  * All state is used on its one event loop.
  */
 final class DiscoveryServer {
-    private static final Pattern WATCH = Pattern.compile("[?&]since=(\\d+)|[?&]timeout_ms=(\\d+)");
-    private static final long LONGEST_WAIT_MS = 60_000;
+    private static final Pattern WATCH_QUERY = Pattern.compile("[?&]since=(\\d+)|[?&]timeout_ms=(\\d+)");
+    private static final long MAX_WAIT_MS = 60_000;
 
     /** A watch that waits for news. */
     private static final class Watch {
         private final Connection connection;
         private final long since;
-        private boolean over;
+        private boolean isAnswered;
 
         Watch(Connection connection, long since) {
             this.connection = connection;
@@ -45,29 +45,29 @@
     }
 
     private final EventLoop loop;
-    private final Layout layout;
+    private final FleetLayout layout;
     private final ScaleOptions options;
-    private final Ledger ledger;
-    private final Traffic traffic;
+    private final ChangePropagation ledger;
+    private final TrafficCounter traffic;
     private final UniformRandomProvider random;
-    private final WorkerEntry[] entries;
+    private final BackendEntry[] entries;
     /** The worker of each change; the change's number is its place, counted from 1. */
-    private final List<Integer> changed = new ArrayList<>();
-    private final List<Watch> waiting = new ArrayList<>();
+    private final List<Integer> changedBackends = new ArrayList<>();
+    private final List<Watch> openWatches = new ArrayList<>();
     private final List<List<Connection>> connections = new ArrayList<>();
-    private final boolean[] silentFor;
+    private final boolean[] isSilentFor;
     /** What a change's number is above its revision; changes up to it come with the whole list only. */
-    private long anew;
+    private long revisionOffset;
 
-    DiscoveryServer(EventLoop loop, Layout layout, ScaleOptions options, Ledger ledger, Traffic traffic) {
+    DiscoveryServer(EventLoop loop, FleetLayout layout, ScaleOptions options, ChangePropagation ledger, TrafficCounter traffic) {
         this.loop = loop;
         this.layout = layout;
         this.options = options;
         this.ledger = ledger;
         this.traffic = traffic;
         random = RandomSource.XO_RO_SHI_RO_128_PP.create(options.seed);
-        entries = new WorkerEntry[options.workers];
-        silentFor = new boolean[options.allDispatchers()];
+        entries = new BackendEntry[options.workers];
+        isSilentFor = new boolean[options.allDispatchers()];
         for (int d = 0; d < options.allDispatchers(); d++) {
             connections.add(new ArrayList<>());
         }
@@ -85,48 +85,48 @@
     }
 
     /** A worker's entry is new or has changed, and all who watch are told; the change's number, on the event loop. */
-    long publish(int worker, WorkerEntry entry) {
+    long publish(int worker, BackendEntry entry) {
         entries[worker] = entry;
-        changed.add(worker);
-        long number = ledger.change(System.nanoTime());
-        List<Watch> told = List.copyOf(waiting);
-        waiting.clear();
+        changedBackends.add(worker);
+        long number = ledger.addChange(System.nanoTime());
+        List<Watch> told = List.copyOf(openWatches);
+        openWatches.clear();
         told.forEach(this::answer);
         return number;
     }
 
     /** Whether a dispatcher hears nothing from here on; the connections that it had are reset when it does again. */
-    void silence(int dispatcher, boolean silent) {
-        silentFor[dispatcher] = silent;
+    void setSilent(int dispatcher, boolean silent) {
+        isSilentFor[dispatcher] = silent;
         if (!silent) {
-            List.copyOf(connections.get(dispatcher)).forEach(StandInConnection::reset);
+            List.copyOf(connections.get(dispatcher)).forEach(HttpServerConnection::reset);
         }
     }
 
     /** Goes down and comes back with revisions that begin anew. */
-    void beginAnew() {
-        waiting.clear();
-        anew = changed.size() - 1L;
-        connections.forEach(all -> List.copyOf(all).forEach(StandInConnection::reset));
+    void restartRevisions() {
+        openWatches.clear();
+        revisionOffset = changedBackends.size() - 1L;
+        connections.forEach(all -> List.copyOf(all).forEach(HttpServerConnection::reset));
     }
 
     private long revision() {
-        return changed.size() - anew;
+        return changedBackends.size() - revisionOffset;
     }
 
-    private void asked(Connection connection, long since, long waitMs) {
-        ledger.asks(connection.dispatcher, since == 0 || since > revision() ? 0 : since + anew, System.nanoTime());
+    private void receiveWatch(Connection connection, long since, long waitMs) {
+        ledger.recordWatch(connection.dispatcher, since == 0 || since > revision() ? 0 : since + revisionOffset, System.nanoTime());
         Watch watch = new Watch(connection, since);
         if (since != revision() || waitMs == 0) {
             answer(watch);
             return;
         }
-        waiting.add(watch);
+        openWatches.add(watch);
         loop.schedule(() -> {
-            if (waiting.remove(watch)) {
+            if (openWatches.remove(watch)) {
                 answer(watch);
             }
-        }, Math.min(LONGEST_WAIT_MS, waitMs), TimeUnit.MILLISECONDS);
+        }, Math.min(MAX_WAIT_MS, waitMs), TimeUnit.MILLISECONDS);
     }
 
     private void answer(Watch watch) {
@@ -139,27 +139,27 @@
 
     private void answerNow(Watch watch) {
         int dispatcher = watch.connection.dispatcher;
-        if (watch.over || silentFor[dispatcher]) {
+        if (watch.isAnswered || isSilentFor[dispatcher]) {
             return;
         }
-        watch.over = true;
+        watch.isAnswered = true;
         if (options.listDrop > 0 && random.nextDouble() < options.listDrop) {
             watch.connection.reset();
             return;
         }
-        byte[] body = list(watch.since, layout.portForDispatcher(dispatcher)).getBytes(StandardCharsets.UTF_8);
+        byte[] body = listJson(watch.since, layout.portForDispatcher(dispatcher)).getBytes(StandardCharsets.UTF_8);
         ByteBuf message = MessageEncoder.response(200, "OK", "Content-Type: application/json\r\n", body, true);
-        traffic.out(Traffic.Purpose.LISTS, message.readableBytes());
-        ledger.told(dispatcher, changed.size(), System.nanoTime());
+        traffic.recordOut(TrafficCounter.Purpose.LISTS, message.readableBytes());
+        ledger.told(dispatcher, changedBackends.size(), System.nanoTime());
         watch.connection.write(message);
     }
 
     /** The entries that changed after a revision, or all where that one is not known. */
-    private String list(long since, int port) {
+    private String listJson(long since, int port) {
         boolean complete = since <= 0 || since > revision();
         Set<Integer> members = new LinkedHashSet<>(complete
             ? IntStream.range(0, entries.length).filter(w -> entries[w] != null && !entries[w].isDeleted()).boxed().toList()
-            : changed.subList((int) (since + anew), changed.size()));
+            : changedBackends.subList((int) (since + revisionOffset), changedBackends.size()));
         StringBuilder json = new StringBuilder("{\"revision\":").append(revision()).append(",\"complete\":").append(complete)
             .append(",\"members\":[");
         String separator = "";
@@ -171,7 +171,7 @@
     }
 
     /** A dispatcher's connection. */
-    private final class Connection extends StandInConnection {
+    private final class Connection extends HttpServerConnection {
         private final int dispatcher;
 
         Connection(int dispatcher) {
@@ -179,24 +179,24 @@
             connections.get(dispatcher).add(this);
         }
 
-        @Override void request(MessageHead head, long bytes) {
-            if (silentFor[dispatcher]) {
+        @Override void onRequest(MessageHead head, long bytes) {
+            if (isSilentFor[dispatcher]) {
                 return;
             }
-            traffic.in(Traffic.Purpose.LISTS, bytes);
+            traffic.recordIn(TrafficCounter.Purpose.LISTS, bytes);
             long since = 0;
             long waitMs = 0;
-            Matcher matcher = WATCH.matcher(head.startLine());
+            Matcher matcher = WATCH_QUERY.matcher(head.startLine());
             while (matcher.find()) {
                 since = matcher.group(1) != null ? Long.parseLong(matcher.group(1)) : since;
                 waitMs = matcher.group(2) != null ? Long.parseLong(matcher.group(2)) : waitMs;
             }
-            asked(this, since, waitMs);
+            receiveWatch(this, since, waitMs);
         }
 
-        @Override void gone() {
+        @Override void onClosed() {
             connections.get(dispatcher).remove(this);
-            waiting.removeIf(watch -> watch.connection == this);
+            openWatches.removeIf(watch -> watch.connection == this);
         }
     }
 }
--- a/src/lab/java/badgermux/scale/Script.java
+++ b/src/lab/java/badgermux/scale/FaultInjector.java
@@ -8,29 +8,29 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /** What happens during the measured part: churn, and a cut that is healed. Runs on the thread of the steps. */
-final class Script {
+final class FaultInjector {
     private static final double DAY_MS = 86_400_000;
     /** A cut begins after this part of what is left of the run beside it. */
-    private static final int BEFORE = 4;
+    private static final int CUT_START_DIVISOR = 4;
     private static final int CUT_ZONE = 0;
 
     private final ScaleOptions options;
-    private final Layout layout;
-    private final HollowWorkers workers;
+    private final FleetLayout layout;
+    private final HollowBackends backends;
     private final DiscoveryServer discovery;
     private final EventLoop discoveryLoop;
-    private final Steps steps;
+    private final StepScheduler steps;
     private final UniformRandomProvider random;
     private final ZigguratSampler.Exponential gaps;
-    private volatile boolean over;
+    private volatile boolean isStopped;
     /** {@link System#nanoTime}; 0 where nothing was cut off. */
     private volatile long healedAt;
 
-    Script(ScaleOptions options, Layout layout, HollowWorkers workers, DiscoveryServer discovery,
-            EventLoop discoveryLoop, Steps steps) {
+    FaultInjector(ScaleOptions options, FleetLayout layout, HollowBackends workers, DiscoveryServer discovery,
+            EventLoop discoveryLoop, StepScheduler steps) {
         this.options = options;
         this.layout = layout;
-        this.workers = workers;
+        this.backends = workers;
         this.discovery = discovery;
         this.discoveryLoop = discoveryLoop;
         this.steps = steps;
@@ -42,18 +42,18 @@
         if (options.churn > 0) {
             scheduleChurn();
         }
-        long spare = 1_000L * (options.seconds - options.cutSeconds) / BEFORE;
+        long spare = 1_000L * (options.seconds - options.cutSeconds) / CUT_START_DIVISOR;
         if (options.cuts()) {
-            steps.afterMs(spare, () -> cut(true));
-            steps.afterMs(spare + 1_000L * options.cutSeconds, () -> cut(false));
+            steps.scheduleMs(spare, () -> cut(true));
+            steps.scheduleMs(spare + 1_000L * options.cutSeconds, () -> cut(false));
         } else if (options.scenario == ScaleOptions.Scenario.ANEW) {
-            discoveryLoop.schedule(discovery::beginAnew, options.seconds / BEFORE, TimeUnit.SECONDS);
+            discoveryLoop.schedule(discovery::restartRevisions, options.seconds / CUT_START_DIVISOR, TimeUnit.SECONDS);
         }
     }
 
     /** No further churn; what has begun goes on to its end. */
-    void end() {
-        over = true;
+    void stopChurn() {
+        isStopped = true;
     }
 
     long healedAt() {
@@ -62,23 +62,23 @@
 
     private void scheduleChurn() {
         double gapMs = DAY_MS / (options.churn * (options.failsADay + options.restartsADay));
-        steps.unawaited((long) (gaps.sample() * gapMs * 1e3), this::churn);
+        steps.scheduleUnawaited((long) (gaps.sample() * gapMs * 1e3), this::churn);
     }
 
     private void churn() throws InterruptedException {
-        if (over) {
+        if (isStopped) {
             return;
         }
         scheduleChurn();
-        int worker = workers.any(random::nextInt);
+        int worker = backends.pickAvailable(random::nextInt);
         boolean fails = random.nextDouble() * (options.failsADay + options.restartsADay) < options.failsADay;
         if (worker < 0) {
             return;
         }
         if (fails) {
-            workers.fail(worker);
+            backends.fail(worker);
         } else {
-            workers.restart(worker);
+            backends.restart(worker);
         }
     }
 
@@ -87,13 +87,13 @@
         if (options.scenario == ScaleOptions.Scenario.REGION) {
             cutRegion(lost, off);
         } else {
-            workers.cut(lost, new int[] {0}, off);
+            backends.cut(lost, new int[] {0}, off);
         }
         if (options.scenario != ScaleOptions.Scenario.RACK) {
             discoveryLoop.execute(() -> IntStream.range(0, options.allDispatchers()).filter(this::isCutDispatcher)
-                .forEach(d -> discovery.silence(d, off)));
+                .forEach(d -> discovery.setSilent(d, off)));
         }
-        workers.missed(lost, off);
+        backends.publishCut(lost, off);
         if (!off) {
             healedAt = System.nanoTime();
         }
@@ -101,24 +101,24 @@
 
     /** Each side goes on with its own workers: who is seen at a region's port is cut off from that region. */
     private void cutRegion(int[] lost, boolean off) {
-        int region = Layout.regionOfZone(CUT_ZONE);
-        int[] others = IntStream.range(0, Layout.REGIONS).filter(r -> r != region).toArray();
-        workers.cut(lost, others, off);
-        workers.cut(IntStream.range(0, options.workers).filter(w -> !isCut(w)).toArray(), new int[] {region}, off);
+        int region = FleetLayout.regionOfZone(CUT_ZONE);
+        int[] others = IntStream.range(0, FleetLayout.REGIONS).filter(r -> r != region).toArray();
+        backends.cut(lost, others, off);
+        backends.cut(IntStream.range(0, options.workers).filter(w -> !isCut(w)).toArray(), new int[] {region}, off);
     }
 
     private boolean isCut(int worker) {
-        int zone = layout.zoneOfWorker(worker);
+        int zone = layout.zoneOfBackend(worker);
         return switch (options.scenario) {
             case RACK -> worker < options.rack;
             case ZONE -> zone == CUT_ZONE;
-            default -> Layout.regionOfZone(zone) == Layout.regionOfZone(CUT_ZONE);
+            default -> FleetLayout.regionOfZone(zone) == FleetLayout.regionOfZone(CUT_ZONE);
         };
     }
 
     private boolean isCutDispatcher(int dispatcher) {
         int zone = layout.zoneOfDispatcher(dispatcher);
         return options.scenario == ScaleOptions.Scenario.ZONE ? zone == CUT_ZONE
-            : Layout.regionOfZone(zone) == Layout.regionOfZone(CUT_ZONE);
+            : FleetLayout.regionOfZone(zone) == FleetLayout.regionOfZone(CUT_ZONE);
     }
 }
--- a/src/lab/java/badgermux/scale/Layout.java
+++ b/src/lab/java/badgermux/scale/FleetLayout.java
@@ -6,24 +6,24 @@
 import java.util.stream.IntStream;
 
 /** Where everybody stands, and the settings that all dispatchers share. Dispatchers are numbered: the real ones come first. */
-final class Layout {
+final class FleetLayout {
     static final int REGIONS = 3, ZONES = 11, SLOTS = 4;
     static final String CLASS = "task", KIND = "k";
     /** A task runs for this multiple of the mean at least, and at most. */
-    static final double SHORTEST_RUN = 0.5, LONGEST_RUN = 1.5;
+    static final double MIN_RUN_FACTOR = 0.5, MAX_RUN_FACTOR = 1.5;
     /** The platform's rules: the time to stop sending after news, and the budget of cold workers. Milliseconds. */
-    static final long STOP_SENDING_MS = 750, SOCKET_MARGIN_MS = 50, COLD_MS = 23_000, FALL_MS = 2_000;
-    static final double COLD_SHARE = 0.15, FALL_MULTIPLE = 3;
-    private static final long AIM_MS = 1_800;
+    static final long STOP_SENDING_MS = 750, SOCKET_MARGIN_MS = 50, WARM_UP_MS = 23_000, OVERLOAD_WINDOW_MS = 2_000;
+    static final double COLD_CAPACITY_SHARE = 0.15, OVERLOAD_MULTIPLE = 3;
+    private static final long TARGET_MS = 1_800;
     private static final int REAL_SOCKETS = 1024, REAL_MEMORY_MB = 192;
 
     private final ScaleOptions options;
 
-    Layout(ScaleOptions options) {
+    FleetLayout(ScaleOptions options) {
         this.options = options;
     }
 
-    int zoneOfWorker(int worker) {
+    int zoneOfBackend(int worker) {
         return worker * ZONES / options.workers;
     }
 
@@ -40,12 +40,12 @@
     }
 
     /** A region's dispatchers see workers at a port of their own where regions may lose each other. */
-    int portsOfWorker() {
+    int portsPerBackend() {
         return options.scenario == ScaleOptions.Scenario.REGION ? REGIONS : 1;
     }
 
     int portForDispatcher(int dispatcher) {
-        return portsOfWorker() == 1 ? 0 : regionOfZone(zoneOfDispatcher(dispatcher));
+        return portsPerBackend() == 1 ? 0 : regionOfZone(zoneOfDispatcher(dispatcher));
     }
 
     /** What GW_CONFIG of a dispatcher holds. */
@@ -74,17 +74,17 @@
         ceilings.addProperty("ConnIdleMs", 15_000);
         ceilings.addProperty("ConnectTimeoutMs", 250);
         JsonObject safety = new JsonObject();
-        safety.addProperty("ColdMs", COLD_MS);
-        safety.addProperty("ColdShare", COLD_SHARE);
-        safety.addProperty("FallMs", FALL_MS);
-        safety.addProperty("FallMultiple", FALL_MULTIPLE);
+        safety.addProperty("ColdMs", WARM_UP_MS);
+        safety.addProperty("ColdShare", COLD_CAPACITY_SHARE);
+        safety.addProperty("FallMs", OVERLOAD_WINDOW_MS);
+        safety.addProperty("FallMultiple", OVERLOAD_MULTIPLE);
         JsonObject extra = new JsonObject();
         extra.addProperty("TellsStart", true);
         JsonObject settings = new JsonObject();
         settings.addProperty("Balancers", options.allDispatchers());
         settings.addProperty("Me", dispatcher);
         settings.addProperty("Zone", zoneOfDispatcher(dispatcher));
-        settings.add("FailureDomains", array(IntStream.range(0, ZONES).mapToObj(Layout::zoneName).toList()));
+        settings.add("FailureDomains", array(IntStream.range(0, ZONES).mapToObj(FleetLayout::zoneName).toList()));
         settings.add("Kinds", array(List.of(KIND)));
         settings.addProperty("Discovery", "on_request");
         settings.add("Report", report);
@@ -111,7 +111,7 @@
         JsonObject task = new JsonObject();
         task.addProperty("Name", CLASS);
         task.addProperty("Effect", "repeatable");
-        task.addProperty("TargetMs", AIM_MS);
+        task.addProperty("TargetMs", TARGET_MS);
         task.addProperty("AimStretch", 1);
         task.addProperty("GiveUpMs", options.giveUpMs());
         JsonArray classes = new JsonArray();
--- a/src/lab/java/badgermux/scale/HollowWorker.java
+++ b/src/lab/java/badgermux/scale/HollowBackend.java
@@ -25,8 +25,8 @@
  * A worker without work: it takes attempts, lets each run for its time, tells reports, drains, dies and comes back cold.
  * All state is used on its one event loop.
  */
-final class HollowWorker {
-    private static final int MOST_WAITING = 16, BACKLOG = 16;
+final class HollowBackend {
+    private static final int MAX_QUEUED = 16, ACCEPT_BACKLOG = 16;
     private static final String NOT_PROCESSED = "X-Not-Processed: 1\r\n";
 
     enum Phase { SERVING, DRAINING, DOWN }
@@ -35,7 +35,7 @@
     private static final class Task {
         private final String id;
         private final Connection connection;
-        private boolean gone;
+        private boolean isAbandoned;
 
         Task(String id, Connection connection) {
             this.id = id;
@@ -47,22 +47,22 @@
     private final EventLoop loop;
     private final int portCount;
     private final double meanRunMs;
-    private final Traffic traffic;
-    private final RuleCheck rules;
+    private final TrafficCounter traffic;
+    private final SendRules rules;
     private final List<Channel> listeners = new ArrayList<>();
     private final List<Set<Connection>> connections = new ArrayList<>();
-    private final ArrayDeque<Task> waiting = new ArrayDeque<>();
+    private final ArrayDeque<Task> queued = new ArrayDeque<>();
     private final boolean[] cut;
     private Phase phase = Phase.DOWN;
     /** Counts its starts: what ran before the last one is gone. */
-    private int life;
+    private int processNumber;
     private int running;
     /** When it started cold, {@link System#nanoTime}; 0 for long ago. */
-    private long coldSince;
-    private RuleCheck.Cold cold;
+    private long coldSinceNanos;
+    private SendRules.ColdBudget coldBudget;
     private long drainChange;
 
-    HollowWorker(int number, EventLoop loop, int portCount, double meanRunMs, Traffic traffic, RuleCheck rules) {
+    HollowBackend(int number, EventLoop loop, int portCount, double meanRunMs, TrafficCounter traffic, SendRules rules) {
         this.number = number;
         this.loop = loop;
         this.portCount = portCount;
@@ -86,7 +86,7 @@
         for (int p = 0; p < portCount; p++) {
             int port = p;
             Channel channel = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_BACKLOG, BACKLOG).childOption(ChannelOption.TCP_NODELAY, true)
+                .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG).childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override protected void initChannel(SocketChannel accepted) {
                         accepted.pipeline().addLast(new Connection(port));
@@ -100,34 +100,34 @@
 
     void start(boolean isCold) {
         phase = Phase.SERVING;
-        coldSince = isCold ? System.nanoTime() : 0;
-        cold = isCold ? new RuleCheck.Cold(meanRunMs) : null;
+        coldSinceNanos = isCold ? System.nanoTime() : 0;
+        coldBudget = isCold ? new SendRules.ColdBudget(meanRunMs) : null;
         drainChange = 0;
     }
 
     /** It drains: {@code change} is the number under which discovery tells of it. */
     void drain(long change) {
         phase = Phase.DRAINING;
-        rules.drained();
+        rules.recordDrain();
         drainChange = change;
-        for (Task task = waiting.poll(); task != null; task = waiting.poll()) {
-            line(task, "returned", "");
-            end(task);
+        for (Task task = queued.poll(); task != null; task = queued.poll()) {
+            sendLine(task, "returned", "");
+            endResponse(task);
         }
     }
 
     boolean isIdle() {
-        return running == 0 && waiting.isEmpty();
+        return running == 0 && queued.isEmpty();
     }
 
     /** Its machine dies: connections are reset, new ones refused. */
-    void die() {
+    void crash() {
         phase = Phase.DOWN;
-        life++;
+        processNumber++;
         running = 0;
-        waiting.clear();
+        queued.clear();
         listeners.forEach(Channel::close);
-        connections.forEach(all -> List.copyOf(all).forEach(StandInConnection::reset));
+        connections.forEach(all -> List.copyOf(all).forEach(HttpServerConnection::reset));
     }
 
     /**
@@ -142,41 +142,41 @@
         listeners.get(port).config().setAutoRead(!off);
         for (Connection connection : List.copyOf(connections.get(port))) {
             if (off) {
-                connection.silence();
+                connection.stopReading();
             } else {
                 connection.reset();
             }
         }
     }
 
-    private void probed(Connection connection) {
-        String load = "TEXT x0=" + (Layout.SLOTS - running) + ", inflight=" + running + ", queue=" + waiting.size()
+    private void answerProbe(Connection connection) {
+        String load = "TEXT x0=" + (FleetLayout.SLOTS - running) + ", inflight=" + running + ", queue=" + queued.size()
             + ", recent_ms=" + meanRunMs;
         ByteBuf answer = MessageEncoder.response(200, "OK", "", load.getBytes(StandardCharsets.US_ASCII), true);
-        traffic.out(Traffic.Purpose.PROBES, answer.readableBytes());
+        traffic.recordOut(TrafficCounter.Purpose.PROBES, answer.readableBytes());
         connection.write(answer);
     }
 
-    private void attempted(Connection connection, String id) {
-        rules.attempt(Integer.parseInt(id.substring(0, RequestIds.DISPATCHER_DIGITS), 16), number, drainChange);
-        if (cold != null) {
-            cold = rules.coldWork(cold, number, coldSince, runMs(id));
+    private void receiveAttempt(Connection connection, String id) {
+        rules.recordAttempt(Integer.parseInt(id.substring(0, RequestIds.DISPATCHER_DIGITS), 16), number, drainChange);
+        if (coldBudget != null) {
+            coldBudget = rules.recordColdWork(coldBudget, number, coldSinceNanos, warmRunMs(id));
         }
-        if (phase == Phase.DRAINING || waiting.size() >= MOST_WAITING) {
+        if (phase == Phase.DRAINING || queued.size() >= MAX_QUEUED) {
             send(connection, MessageEncoder.response(503, "Service Unavailable", NOT_PROCESSED, new byte[0], true));
             return;
         }
         send(connection, Unpooled.copiedBuffer("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
             StandardCharsets.ISO_8859_1));
         connection.task = new Task(id, connection);
-        waiting.add(connection.task);
-        startWaiting();
+        queued.add(connection.task);
+        startQueued();
     }
 
-    private void startWaiting() {
-        while (running < Layout.SLOTS && !waiting.isEmpty()) {
-            Task task = waiting.poll();
-            if (!task.gone) {
+    private void startQueued() {
+        while (running < FleetLayout.SLOTS && !queued.isEmpty()) {
+            Task task = queued.poll();
+            if (!task.isAbandoned) {
                 run(task);
             }
         }
@@ -184,43 +184,43 @@
 
     private void run(Task task) {
         running++;
-        line(task, "started", "");
-        int startedIn = life;
-        long micros = (long) (1_000 * runMs(task.id) / RuleCheck.warmth(coldSince, System.nanoTime()));
+        sendLine(task, "started", "");
+        int startedIn = processNumber;
+        long micros = (long) (1_000 * warmRunMs(task.id) / SendRules.capacityShare(coldSinceNanos, System.nanoTime()));
         loop.schedule(() -> {
-            if (life == startedIn) {
+            if (processNumber == startedIn) {
                 running--;
-                line(task, "done", ",\"result\":\"ok\"");
-                end(task);
-                startWaiting();
+                sendLine(task, "done", ",\"result\":\"ok\"");
+                endResponse(task);
+                startQueued();
             }
         }, micros, TimeUnit.MICROSECONDS);
     }
 
     /** How long a request runs when warm: drawn from its id, so that each attempt at it takes as long. */
-    private double runMs(String id) {
+    private double warmRunMs(String id) {
         double drawn = (Names.hash(id) >>> 11) * 0x1p-53;
-        return meanRunMs * (Layout.SHORTEST_RUN + drawn * (Layout.LONGEST_RUN - Layout.SHORTEST_RUN));
+        return meanRunMs * (FleetLayout.MIN_RUN_FACTOR + drawn * (FleetLayout.MAX_RUN_FACTOR - FleetLayout.MIN_RUN_FACTOR));
     }
 
-    private void line(Task task, String state, String more) {
+    private void sendLine(Task task, String state, String more) {
         String line = "{\"id\":\"" + task.id + "\",\"from\":\"s-" + number + "\",\"state\":\"" + state + '"' + more + "}\n";
         send(task.connection, Unpooled.copiedBuffer(Integer.toHexString(line.length()) + "\r\n" + line + "\r\n",
             StandardCharsets.ISO_8859_1));
     }
 
-    private void end(Task task) {
+    private void endResponse(Task task) {
         task.connection.task = null;
         send(task.connection, Unpooled.copiedBuffer("0\r\n\r\n", StandardCharsets.ISO_8859_1));
     }
 
     private void send(Connection connection, ByteBuf message) {
-        traffic.out(Traffic.Purpose.ATTEMPTS, message.readableBytes());
+        traffic.recordOut(TrafficCounter.Purpose.ATTEMPTS, message.readableBytes());
         connection.write(message);
     }
 
     /** A dispatcher's connection. */
-    private final class Connection extends StandInConnection {
+    private final class Connection extends HttpServerConnection {
         private final int port;
         private Task task;
 
@@ -229,22 +229,22 @@
             connections.get(port).add(this);
         }
 
-        @Override void request(MessageHead head, long bytes) {
+        @Override void onRequest(MessageHead head, long bytes) {
             String id = head.get("X-Request-ID");
-            traffic.in(id == null ? Traffic.Purpose.PROBES : Traffic.Purpose.ATTEMPTS, bytes);
+            traffic.recordIn(id == null ? TrafficCounter.Purpose.PROBES : TrafficCounter.Purpose.ATTEMPTS, bytes);
             if (id == null) {
-                probed(this);
+                answerProbe(this);
             } else {
-                attempted(this, id);
+                receiveAttempt(this, id);
             }
         }
 
         /** What waits is dropped; what runs goes on, for nobody. */
-        @Override void gone() {
+        @Override void onClosed() {
             connections.get(port).remove(this);
             if (task != null) {
-                task.gone = true;
-                waiting.remove(task);
+                task.isAbandoned = true;
+                queued.remove(task);
             }
         }
     }
--- a/src/lab/java/badgermux/scale/HollowDispatcher.java
+++ b/src/lab/java/badgermux/scale/HollowDispatcher.java
@@ -25,13 +25,13 @@
     private static final byte[] BODY = "x".repeat(200).getBytes(StandardCharsets.US_ASCII);
 
     /** What became of the requests. */
-    static final class Answers {
+    static final class AnswerCounts {
         long asked;
         long served;
         long synthetic;
         long failed;
         /** Beyond the one answer that each request gets. */
-        long second;
+        long repeated;
 
         long lost() {
             return asked - served - synthetic - failed;
@@ -40,21 +40,21 @@
 
     private final EventLoop loop;
     private final Clock clock = new Clock();
-    private final Metrics metrics = new Metrics(List.of(Layout.CLASS));
+    private final Metrics metrics = new Metrics(List.of(FleetLayout.CLASS));
     private final Deadlines deadlines = new Deadlines(clock::nowMicros, this::alarm, metrics);
     private final Engine<ForwardedRequest> engine;
     private final DiscoveryClient discovery;
     private final RequestIds ids;
-    private final Answers answers;
-    private final long giveUpMicros;
+    private final AnswerCounts answers;
+    private final long timeoutMicros;
     private Future<?> alarm;
 
-    HollowDispatcher(EventLoop loop, Config config, int connections, RequestIds ids, Answers answers, TimedModule timed) {
+    HollowDispatcher(EventLoop loop, Config config, int connections, RequestIds ids, AnswerCounts answers, PolicyTimer timed) {
         this.loop = loop;
         this.ids = ids;
         this.answers = answers;
         DispatchPolicy.Settings settings = config.settings();
-        giveUpMicros = settings.classes.get(0).clientTimeoutMicros();
+        timeoutMicros = settings.classes.get(0).clientTimeoutMicros();
         engine = new Engine<>(clock::nowMicros, deadlines, metrics, settings.maxAttempts);
         HttpBackendClient backends = new HttpBackendClient(loop, deadlines, clock::nowMicros, metrics, engine, config.connectTimeoutMicros(),
             settings.idleTimeoutMicros, connections, settings.reportMode == DispatchPolicy.ReportMode.ON_PROBE);
@@ -73,11 +73,11 @@
     }
 
     /** Takes one request of a tenant in. */
-    void ask(int tenant) {
+    void submitRequest(int tenant) {
         String id = ids.next();
         answers.asked++;
-        ForwardedRequest relay = new ForwardedRequest(id, "POST /" + Layout.CLASS + " HTTP/1.1", "X-Request-ID: " + id + "\r\n", BODY, null);
-        engine.submit(new OneAnswer(), relay, 0, tenant, 1, clock.nowMicros() + giveUpMicros, true);
+        ForwardedRequest relay = new ForwardedRequest(id, "POST /" + FleetLayout.CLASS + " HTTP/1.1", "X-Request-ID: " + id + "\r\n", BODY, null);
+        engine.submit(new AnswerCounter(), relay, 0, tenant, 1, clock.nowMicros() + timeoutMicros, true);
     }
 
     private void alarm(long at) {
@@ -88,25 +88,25 @@
     }
 
     /** Counts the answer of one request. */
-    private final class OneAnswer implements ResponseListener {
-        private boolean answered;
+    private final class AnswerCounter implements ResponseListener {
+        private boolean isAnswered;
 
         @Override public void onServed(byte[] result) {
-            answers.served += first();
+            answers.served += countAnswer();
         }
 
         @Override public void onRefused(long comeBack) {
-            answers.synthetic += first();
+            answers.synthetic += countAnswer();
         }
 
         @Override public void onFailed(boolean late) {
-            answers.failed += first();
+            answers.failed += countAnswer();
         }
 
-        private int first() {
-            answers.second += answered ? 1 : 0;
-            int counts = answered ? 0 : 1;
-            answered = true;
+        private int countAnswer() {
+            answers.repeated += isAnswered ? 1 : 0;
+            int counts = isAnswered ? 0 : 1;
+            isAnswered = true;
             return counts;
         }
     }
--- a/src/lab/java/badgermux/scale/HollowProcess.java
+++ b/src/lab/java/badgermux/scale/HollowProcess.java
@@ -49,16 +49,16 @@
     record Report(long asked, long served, long synthetic, long failed, long lost, long second, Times loopLate, Times news,
         Times decisions, long heapBytes, Map<Count, Long> counts) { }
 
-    private static final long TICK_MS = 10, LONGEST_US = 60_000_000;
+    private static final long TICK_MS = 10, MAX_RECORDED_MICROS = 60_000_000;
     private static final Gson GSON = new Gson();
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final Plan plan;
     private final List<HollowDispatcher> dispatchers = new ArrayList<>();
-    private final HollowDispatcher.Answers answers = new HollowDispatcher.Answers();
-    private final TimedModule timed = new TimedModule();
-    private final Histogram loopLate = new Histogram(LONGEST_US, 3);
+    private final HollowDispatcher.AnswerCounts answers = new HollowDispatcher.AnswerCounts();
+    private final PolicyTimer policyTimer = new PolicyTimer();
+    private final Histogram loopLate = new Histogram(MAX_RECORDED_MICROS, 3);
     private final UniformRandomProvider random;
     private final ZigguratSampler.Exponential gaps;
     private Future<?> nextRequest;
@@ -73,7 +73,7 @@
             Config config = Config.read(Map.of("GW_CONFIG", plan.configs.get(i), "GW_LISTEN", "127.0.0.1:0",
                 "GW_DISCOVERY", "127.0.0.1:" + plan.discovery.get(i)));
             dispatchers.add(new HollowDispatcher(loop, config, plan.connections, new RequestIds(plan.first + i, plan.starts),
-                answers, timed));
+                answers, policyTimer));
         }
     }
 
@@ -82,7 +82,7 @@
         HollowProcess process = new HollowProcess(GSON.fromJson(in.readLine(), Plan.class));
         process.loop.submit(process::start).get();
         for (String line = in.readLine(); line != null; line = in.readLine()) {
-            System.out.println(process.obey(Order.valueOf(line)));
+            System.out.println(process.execute(Order.valueOf(line)));
         }
         System.exit(0);
     }
@@ -93,10 +93,10 @@
         loop.schedule(this::tick, TICK_MS, TimeUnit.MILLISECONDS);
     }
 
-    private String obey(Order order) throws Exception {
+    private String execute(Order order) throws Exception {
         switch (order) {
-            case GO -> loop.submit(this::go).get();
-            case MARK -> loop.submit(this::reset).get();
+            case GO -> loop.submit(this::startRequests).get();
+            case MARK -> loop.submit(this::resetTimes).get();
             case QUIET -> loop.submit(() -> nextRequest.cancel(false)).get();
             default -> {
                 long heap = heapBytes();
@@ -106,21 +106,21 @@
         return "{}";
     }
 
-    private void reset() {
+    private void resetTimes() {
         loopLate.reset();
-        timed.news.reset();
-        timed.others.reset();
+        policyTimer.listUpdates.reset();
+        policyTimer.otherEvents.reset();
     }
 
     /** How late the loop comes to what is due: what a stall does to all that it serves. */
     private void tick() {
         long now = System.nanoTime();
-        loopLate.recordValue(Math.min(LONGEST_US, Math.max(0, (now - tickDue) / 1_000)));
+        loopLate.recordValue(Math.min(MAX_RECORDED_MICROS, Math.max(0, (now - tickDue) / 1_000)));
         tickDue = now + TimeUnit.MILLISECONDS.toNanos(TICK_MS);
         loop.schedule(this::tick, TICK_MS, TimeUnit.MILLISECONDS);
     }
 
-    private void go() {
+    private void startRequests() {
         requestDue = System.nanoTime();
         scheduleRequest();
     }
@@ -133,7 +133,7 @@
 
     private void request() {
         scheduleRequest();
-        dispatchers.get(random.nextInt(dispatchers.size())).ask(random.nextInt(Math.max(1, plan.tenants)));
+        dispatchers.get(random.nextInt(dispatchers.size())).submitRequest(random.nextInt(Math.max(1, plan.tenants)));
     }
 
     private Report report(long heap) {
@@ -145,8 +145,8 @@
             }
         }
         counts.values().removeIf(count -> count == 0);
-        return new Report(answers.asked, answers.served, answers.synthetic, answers.failed, answers.lost(), answers.second,
-            Times.ofMicros(loopLate), Times.ofMicros(timed.news), Times.ofMicros(timed.others), heap, counts);
+        return new Report(answers.asked, answers.served, answers.synthetic, answers.failed, answers.lost(), answers.repeated,
+            Times.ofMicros(loopLate), Times.ofMicros(policyTimer.listUpdates), Times.ofMicros(policyTimer.otherEvents), heap, counts);
     }
 
     /** What is left on the heap after a collection. */
--- a/src/lab/java/badgermux/scale/Child.java
+++ b/src/lab/java/badgermux/scale/HollowProcessHandle.java
@@ -10,8 +10,8 @@
 import java.util.concurrent.TimeUnit;
 
 /** The handle of a {@link HollowProcess}: it ends when this end closes, or dies. */
-final class Child implements Closeable {
-    private static final int END_S = 10;
+final class HollowProcessHandle implements Closeable {
+    private static final int EXIT_TIMEOUT_SECONDS = 10;
     private static final Gson GSON = new Gson();
 
     final int dispatchers;
@@ -19,7 +19,7 @@
     private final Writer orders;
     private final BufferedReader answers;
 
-    Child(HollowProcess.Plan plan, int heapMb) throws IOException {
+    HollowProcessHandle(HollowProcess.Plan plan, int heapMb) throws IOException {
         dispatchers = plan.configs().size();
         process = new ProcessBuilder(System.getProperty("java.home") + File.separator + "bin" + File.separator + "java",
             "-Xmx" + heapMb + "m", "-XX:+UseSerialGC", "-XX:CICompilerCount=2", "-Dtinylog.level=error",
@@ -27,7 +27,7 @@
             .redirectError(ProcessBuilder.Redirect.INHERIT).start();
         orders = process.outputWriter(StandardCharsets.UTF_8);
         answers = process.inputReader(StandardCharsets.UTF_8);
-        tell(GSON.toJson(plan));
+        writeLine(GSON.toJson(plan));
     }
 
     long pid() {
@@ -36,7 +36,7 @@
 
     /** Gives an order and waits until it is carried out. */
     String order(HollowProcess.Order order) throws IOException {
-        tell(order.name());
+        writeLine(order.name());
         String answer = answers.readLine();
         if (answer == null) {
             throw new IOException("a process of hollow dispatchers has ended");
@@ -48,7 +48,7 @@
         return GSON.fromJson(order(HollowProcess.Order.REPORT), HollowProcess.Report.class);
     }
 
-    private void tell(String line) throws IOException {
+    private void writeLine(String line) throws IOException {
         orders.write(line + "\n");
         orders.flush();
     }
@@ -56,7 +56,7 @@
     @Override public void close() throws IOException {
         orders.close();
         try {
-            if (!process.waitFor(END_S, TimeUnit.SECONDS)) {
+            if (!process.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
                 process.destroyForcibly();
             }
         } catch (InterruptedException e) {
--- a/src/lab/java/badgermux/scale/StandInConnection.java
+++ b/src/lab/java/badgermux/scale/HttpServerConnection.java
@@ -11,7 +11,7 @@
 import io.netty.channel.ChannelOption;
 
 /** A connection that a stand-in accepted: it tells of whole requests, and with how many bytes each came. */
-abstract class StandInConnection extends ChannelInboundHandlerAdapter implements MessageReader.Listener {
+abstract class HttpServerConnection extends ChannelInboundHandlerAdapter implements MessageReader.Listener {
     private static final int NO_LINGER = 0;
 
     private final MessageReader reader = new MessageReader(false, MessageReader.MAX_BODY_BYTES, this);
@@ -20,10 +20,10 @@
     private long bytes;
 
     /** A request is whole; called on the connection's event loop. */
-    abstract void request(MessageHead head, long bytes);
+    abstract void onRequest(MessageHead head, long bytes);
 
     /** The connection has ended. */
-    abstract void gone();
+    abstract void onClosed();
 
     /** Sends bytes; the connection may have ended. */
     final ChannelFuture write(ByteBuf message) {
@@ -36,7 +36,7 @@
     }
 
     /** Stops reading: who is at the other end hears nothing more, and its connection stays open. */
-    final void silence() {
+    final void stopReading() {
         channel.config().setAutoRead(false);
     }
 
@@ -54,7 +54,7 @@
                 if (whole) {
                     long size = bytes;
                     bytes = 0;
-                    request(head, size);
+                    onRequest(head, size);
                 }
             }
         } catch (InvalidMessageException e) {
@@ -71,7 +71,7 @@
     @Override public final void onBody(byte[] part) { }
 
     @Override public final void channelInactive(ChannelHandlerContext ctx) {
-        gone();
+        onClosed();
     }
 
     @Override public final void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
--- a/src/lab/java/badgermux/scale/RealClients.java
+++ b/src/lab/java/badgermux/scale/LoadGenerator.java
@@ -19,31 +19,31 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /** The clients of one real dispatcher: requests at a rate, and a look at its health every so often, which times its loop. */
-final class RealClients {
-    private static final long HEALTH_EVERY_MS = 250, SPARE_MS = 5_000, LONGEST_US = 60_000_000;
+final class LoadGenerator {
+    private static final long HEALTH_INTERVAL_MS = 250, RESPONSE_GRACE_MS = 5_000, MAX_RECORDED_MICROS = 60_000_000;
     private static final String BODY = "x".repeat(200);
 
     final AtomicLong asked = new AtomicLong(), served = new AtomicLong(), synthetic = new AtomicLong();
     final AtomicLong failed = new AtomicLong(), lost = new AtomicLong(), resent = new AtomicLong();
-    final Histogram health = new ConcurrentHistogram(LONGEST_US, 3);
+    final Histogram health = new ConcurrentHistogram(MAX_RECORDED_MICROS, 3);
     private final HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
     private final ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor(work -> {
         Thread thread = new Thread(work, "clients");
         thread.setDaemon(true);
         return thread;
     });
-    private final Supplier<RealDispatcher> to;
+    private final Supplier<RealDispatcher> dispatcher;
     private final RequestIds ids;
     private final ZigguratSampler.Exponential gaps;
     private final double rate;
-    private final long giveUpMs;
+    private final long timeoutMs;
     private volatile boolean quiet;
     private long requestDue;
 
-    RealClients(Supplier<RealDispatcher> to, int number, double rate, long giveUpMs, long seed) {
-        this.to = to;
+    LoadGenerator(Supplier<RealDispatcher> to, int number, double rate, long giveUpMs, long seed) {
+        this.dispatcher = to;
         this.rate = rate;
-        this.giveUpMs = giveUpMs;
+        this.timeoutMs = giveUpMs;
         ids = new RequestIds(number, 0);
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed * 7_919 + number);
         gaps = ZigguratSampler.Exponential.of(random);
@@ -52,7 +52,7 @@
     void start() {
         requestDue = System.nanoTime();
         scheduleRequest();
-        timer.scheduleWithFixedDelay(this::lookAtHealth, HEALTH_EVERY_MS, HEALTH_EVERY_MS, TimeUnit.MILLISECONDS);
+        timer.scheduleWithFixedDelay(this::probeHealth, HEALTH_INTERVAL_MS, HEALTH_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     /** Asks nothing more from here on, or again. */
@@ -60,7 +60,7 @@
         quiet = is;
     }
 
-    long open() {
+    long openCount() {
         return asked.get() - served.get() - synthetic.get() - failed.get() - lost.get();
     }
 
@@ -82,15 +82,15 @@
     }
 
     private void send(String id, boolean first) {
-        HttpRequest request = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + to.get().port() + "/" + Layout.CLASS))
-            .timeout(Duration.ofMillis(giveUpMs + SPARE_MS)).header("X-Request-ID", id).header("X-Timeout", giveUpMs + "m")
+        HttpRequest request = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + dispatcher.get().port() + "/" + FleetLayout.CLASS))
+            .timeout(Duration.ofMillis(timeoutMs + RESPONSE_GRACE_MS)).header("X-Request-ID", id).header("X-Timeout", timeoutMs + "m")
             .POST(HttpRequest.BodyPublishers.ofString(BODY)).build();
         client.sendAsync(request, HttpResponse.BodyHandlers.ofString())
-            .whenComplete((response, error) -> answered(id, first, response, error));
+            .whenComplete((response, error) -> handleResponse(id, first, response, error));
     }
 
     /** A close between requests may cross one: the platform's clients send it once more then. */
-    private void answered(String id, boolean first, HttpResponse<String> response, Throwable error) {
+    private void handleResponse(String id, boolean first, HttpResponse<String> response, Throwable error) {
         if (response != null) {
             count(response.statusCode());
         } else if (first && !(cause(error) instanceof HttpTimeoutException)) {
@@ -109,14 +109,14 @@
         (status == 200 ? served : status == 503 || status == 429 ? synthetic : failed).incrementAndGet();
     }
 
-    private void lookAtHealth() {
+    private void probeHealth() {
         if (quiet) {
             return;
         }
         long from = System.nanoTime();
-        HttpRequest request = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + to.get().port() + "/healthz"))
-            .timeout(Duration.ofMillis(SPARE_MS)).build();
+        HttpRequest request = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + dispatcher.get().port() + "/healthz"))
+            .timeout(Duration.ofMillis(RESPONSE_GRACE_MS)).build();
         client.sendAsync(request, HttpResponse.BodyHandlers.discarding()).thenAccept(response ->
-            health.recordValue(Math.min(LONGEST_US, (System.nanoTime() - from) / 1_000)));
+            health.recordValue(Math.min(MAX_RECORDED_MICROS, (System.nanoTime() - from) / 1_000)));
     }
 }
--- a/src/lab/java/badgermux/scale/TimedModule.java
+++ b/src/lab/java/badgermux/scale/PolicyTimer.java
@@ -6,13 +6,13 @@
 import org.HdrHistogram.Histogram;
 
 /** Times what the decision module does: news of the list, and all else. One thread uses it. */
-final class TimedModule {
-    private static final String NEWS = "workers";
-    private static final long LONGEST_US = 60_000_000;
+final class PolicyTimer {
+    private static final String LIST_METHOD = "workers";
+    private static final long MAX_RECORDED_MICROS = 60_000_000;
     private static final int NANOS = 1_000;
 
-    final Histogram news = new Histogram(LONGEST_US, 3);
-    final Histogram others = new Histogram(LONGEST_US, 3);
+    final Histogram listUpdates = new Histogram(MAX_RECORDED_MICROS, 3);
+    final Histogram otherEvents = new Histogram(MAX_RECORDED_MICROS, 3);
 
     /** The same module, timed. */
     DispatchPolicy around(DispatchPolicy module) {
@@ -24,8 +24,8 @@
                 } catch (InvocationTargetException e) {
                     throw e.getCause();
                 } finally {
-                    Histogram of = method.getName().equals(NEWS) ? news : others;
-                    of.recordValue(Math.min(LONGEST_US, (System.nanoTime() - from) / NANOS));
+                    Histogram of = method.getName().equals(LIST_METHOD) ? listUpdates : otherEvents;
+                    of.recordValue(Math.min(MAX_RECORDED_MICROS, (System.nanoTime() - from) / NANOS));
                 }
             });
     }
--- a/src/lab/java/badgermux/scale/ScaleCommand.java
+++ b/src/lab/java/badgermux/scale/ScaleCommand.java
@@ -16,8 +16,8 @@
 @Command(name = "scale", mixinStandardHelpOptions = true, sortOptions = false,
     description = "Runs hollow dispatchers and workers beside real dispatchers, and measures what it costs.")
 public final class ScaleCommand implements Callable<Integer> {
-    private static final int FOUND_FAULT = 1, TOO_LONG = 3;
-    private static final long SPARE_S = 900;
+    private static final int EXIT_FAULT_FOUND = 1, EXIT_TIMEOUT = 3;
+    private static final long EXTRA_SECONDS = 900;
 
     @Mixin private ScaleOptions options;
     @Option(names = "--json", paramLabel = "FILE", description = "where the result goes")
@@ -39,7 +39,7 @@
     }
 
     @Override public Integer call() throws Exception {
-        stopInTime();
+        startWatchdog();
         ScaleRun run = new ScaleRun(options, System.err);
         Runtime.getRuntime().addShutdownHook(new Thread(() -> close(run), "end"));
         ScaleResult result = run.run(command, commit());
@@ -52,7 +52,7 @@
             ScalePlot.write(result, plot);
         }
         System.err.println(result.passed() ? "passed" : "faults: " + result.faults());
-        return result.passed() ? 0 : FOUND_FAULT;
+        return result.passed() ? 0 : EXIT_FAULT_FOUND;
     }
 
     private static void close(ScaleRun run) {
@@ -64,13 +64,13 @@
     }
 
     /** Guards against a run that waits for what does not come. */
-    private void stopInTime() {
-        long limit = options.warmUp + options.seconds + 4 * options.giveUpMs() / 1_000 + SPARE_S;
+    private void startWatchdog() {
+        long limit = options.warmUp + options.seconds + 4 * options.giveUpMs() / 1_000 + EXTRA_SECONDS;
         Thread guard = new Thread(() -> {
             try {
                 TimeUnit.SECONDS.sleep(limit);
                 System.err.println("scale: not over after " + limit + " s");
-                System.exit(TOO_LONG);
+                System.exit(EXIT_TIMEOUT);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
--- a/src/lab/java/badgermux/scale/ScaleOptions.java
+++ b/src/lab/java/badgermux/scale/ScaleOptions.java
@@ -55,7 +55,7 @@
 
     /** How long a client waits for its answer, in milliseconds: the longest run three times over, and five seconds. */
     long giveUpMs() {
-        return (long) (3 * Layout.LONGEST_RUN * meanRunMs()) + 5_000;
+        return (long) (3 * FleetLayout.MAX_RUN_FACTOR * meanRunMs()) + 5_000;
     }
 
     boolean cuts() {
--- a/src/lab/java/badgermux/scale/ScaleResult.java
+++ b/src/lab/java/badgermux/scale/ScaleResult.java
@@ -19,7 +19,7 @@
  * @param upToDate     dispatchers at the last revision at the end
  */
 record ScaleResult(boolean passed, List<String> faults, String command, String commit, String started, double loadAverage,
-        ScaleOptions options, Hollow hollow, List<Real> real, Map<String, Traffic.Bytes> bytes,
+        ScaleOptions options, Hollow hollow, List<Real> real, Map<String, TrafficCounter.Bytes> bytes,
         Map<String, Double> bytesASecondADispatcher, long changes, Times inForceEach, Times inForceLast, Times afterHealing,
         double restartMs, long notInForce, int upToDate, Rules rules, List<Sample> samples) {
 
--- a/src/lab/java/badgermux/scale/Steps.java
+++ b/src/lab/java/badgermux/scale/StepScheduler.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /** The one thread on which a run's script goes on, step by step; a step that fails is counted, for the verdict. */
-final class Steps implements Closeable {
+final class StepScheduler implements Closeable {
     /** What is done at a time. */
     interface Step {
         void run() throws InterruptedException;
@@ -17,9 +17,9 @@
     private final AtomicInteger pending = new AtomicInteger(), failed = new AtomicInteger();
 
     /** Does it after a time; the run does not end before it is done. */
-    void after(long micros, Step step) {
+    void scheduleMicros(long micros, Step step) {
         pending.incrementAndGet();
-        unawaited(micros, () -> {
+        scheduleUnawaited(micros, () -> {
             try {
                 step.run();
             } finally {
@@ -29,7 +29,7 @@
     }
 
     /** Does it after a time, unless the run is over by then. */
-    void unawaited(long micros, Step step) {
+    void scheduleUnawaited(long micros, Step step) {
         thread.schedule(() -> {
             try {
                 step.run();
@@ -42,8 +42,8 @@
         }, micros, TimeUnit.MICROSECONDS);
     }
 
-    void afterMs(long millis, Step step) {
-        after(TimeUnit.MILLISECONDS.toMicros(millis), step);
+    void scheduleMs(long millis, Step step) {
+        scheduleMicros(TimeUnit.MILLISECONDS.toMicros(millis), step);
     }
 
     /** Whether nothing is left to be done. */
--- a/src/lab/java/badgermux/scale/Traffic.java
+++ b/src/lab/java/badgermux/scale/TrafficCounter.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /** Bytes and messages by purpose, counted at the stand-ins: application bytes of HTTP, both ways, without TCP's own. */
-final class Traffic {
+final class TrafficCounter {
     enum Purpose { LISTS, PROBES, ATTEMPTS }
 
     private static final class Sum {
@@ -21,18 +21,18 @@
 
     private final Map<Purpose, Sum> sums = new EnumMap<>(Purpose.class);
 
-    Traffic() {
+    TrafficCounter() {
         for (Purpose purpose : Purpose.values()) {
             sums.put(purpose, new Sum());
         }
     }
 
-    void in(Purpose purpose, long bytes) {
+    void recordIn(Purpose purpose, long bytes) {
         sums.get(purpose).messages.increment();
         sums.get(purpose).in.add(bytes);
     }
 
-    void out(Purpose purpose, long bytes) {
+    void recordOut(Purpose purpose, long bytes) {
         sums.get(purpose).out.add(bytes);
     }
 
--- a/src/test/java/badgermux/capacity/CapacityPageTest.java
+++ b/src/test/java/badgermux/capacity/CapacityPageTest.java
@@ -21,7 +21,7 @@
 class CapacityPageTest {
     private static final Path PAGE = Path.of("docs", "CAPACITY.md");
     private static final Path FOLDER = Path.of("docs", "capacity");
-    private static final Pattern CLASS = Pattern.compile("`([A-Z][A-Za-z]+)`");
+    private static final Pattern CLASS_NAME = Pattern.compile("`([A-Z][A-Za-z]+)`");
 
     private static Slopes slopes() throws IOException {
         return Slopes.read(FOLDER.resolve("slopes.json"));
@@ -31,57 +31,57 @@
         return Target.read(FOLDER.resolve("target.json"));
     }
 
-    @Test void thePagesTablesAreThoseOfTheProgram() throws IOException {
+    @Test void pageTablesMatchGeneratedTables() throws IOException {
         String page = Files.readString(PAGE);
-        assertEquals(Page.with(page, new Tables(slopes(), target()).all()), page,
+        assertEquals(CapacityPage.replaceTables(page, new Tables(slopes(), target()).renderAll()), page,
             "write them anew: src/bench/run badgermux.capacity.CapacityTables --write");
     }
 
-    @Test void aPageWithAnotherFigureDiffers() throws IOException {
+    @Test void changedFigureIsDetected() throws IOException {
         String page = Files.readString(PAGE);
         String spoilt = page.replaceFirst("\\| workers \\| 2,600 workers", "| workers | 2,601 workers");
         assertTrue(!spoilt.equals(page), "the page shows the number of workers");
-        assertEquals(page, Page.with(spoilt, new Tables(slopes(), target()).all()));
+        assertEquals(page, CapacityPage.replaceTables(spoilt, new Tables(slopes(), target()).renderAll()));
     }
 
-    @Test void aPageWithoutAPlaceForATableIsRefused() {
-        assertThrows(IllegalArgumentException.class, () -> Page.with("no marker", Map.of("runs", "| a |\n")));
+    @Test void missingTableMarkerIsRejected() {
+        assertThrows(IllegalArgumentException.class, () -> CapacityPage.replaceTables("no marker", Map.of("runs", "| a |\n")));
     }
 
-    @Test void eachSlopeNamesItsRunAndFollowsFromItsPoints() throws IOException {
+    @Test void slopesNameTheirRunAndMatchTheirPoints() throws IOException {
         Set<String> runs = slopes().runs().stream().map(Slopes.Run::name).collect(Collectors.toSet());
         for (Slope slope : slopes().slopes()) {
             assertTrue(runs.contains(slope.run()), slope.name() + " has no run");
             double squares = 0;
             for (Slope.Point point : slope.points()) {
                 assertTrue(point.least() <= point.median() && point.median() <= point.most(), slope.name());
-                squares += Math.pow(slope.fitted(point.size()) / point.median() - 1, 2);
+                squares += Math.pow(slope.fittedCostAt(point.size()) / point.median() - 1, 2);
             }
             double error = Math.sqrt(squares / slope.points().size());
             assertEquals(slope.errorShare(), error, 0.002 + 0.01 * error, slope.name() + " has another error");
         }
     }
 
-    @Test void aLineIsUsedOnlyWhereNothingWasMeasured() {
+    @Test void fittedLineIsUsedOnlyForUnmeasuredSizes() {
         List<Slope.Point> points = List.of(new Slope.Point(10, 3, 100, 90, 120), new Slope.Point(20, 3, 500, 450, 600));
         Slope slope = new Slope("x", "x", "us", "worker", "run", points, -300, 40, 0);
-        assertEquals(500, slope.at(20));
-        assertEquals(900, slope.at(30));
-        assertEquals(0, slope.at(1));
+        assertEquals(500, slope.costAt(20));
+        assertEquals(900, slope.costAt(30));
+        assertEquals(0, slope.costAt(1));
     }
 
-    @Test void aRoleWithoutMechanismGoesBeforeAllOthers() throws IOException {
-        String ranking = new Tables(slopes(), target()).all().get("ranking");
+    @Test void rolesWithoutMechanismRankFirst() throws IOException {
+        String ranking = new Tables(slopes(), target()).renderAll().get("ranking");
         List<String> mechanisms = ranking.lines().skip(2).map(line -> line.replaceAll("^.*\\| (.*) \\|$", "$1")).toList();
-        int lastNone = mechanisms.lastIndexOf(Demand.NONE);
+        int lastNone = mechanisms.lastIndexOf(Demand.NO_MECHANISM);
         assertTrue(lastNone >= 0, ranking);
-        assertEquals(Set.of(Demand.NONE), Set.copyOf(mechanisms.subList(0, lastNone + 1)));
+        assertEquals(Set.of(Demand.NO_MECHANISM), Set.copyOf(mechanisms.subList(0, lastNone + 1)));
     }
 
-    @Test void failuresCostMoreTheMoreWorkersTheyTake() throws IOException {
-        List<Demand> demands = new Model(slopes(), target()).demands(120).stream()
+    @Test void largerFailuresCostMoreCpu() throws IOException {
+        List<Demand> demands = new DemandModel(slopes(), target()).demands(120).stream()
             .filter(demand -> demand.role().equals("Decision module")).toList();
-        List<Situation> rising = List.of(Situation.TARGET, Situation.MACHINE, Situation.RACK, Situation.ZONE, Situation.REGION);
+        List<Situation> rising = List.of(Situation.AVERAGE_DAY, Situation.MACHINE_FAILURE, Situation.RACK_FAILURE, Situation.ZONE_FAILURE, Situation.REGION_CUT_OFF);
         double before = 0;
         for (Situation situation : rising) {
             double core = demands.stream().filter(d -> d.situation() == situation).findFirst().orElseThrow().coreShare();
@@ -90,14 +90,14 @@
         }
     }
 
-    @Test void theClassesThatThePageNamesExist() throws IOException {
+    @Test void classesNamedOnPageExist() throws IOException {
         Set<String> sources;
         try (Stream<Path> files = Files.walk(Path.of("src"))) {
             sources = files.map(file -> file.getFileName().toString()).filter(name -> name.endsWith(".java"))
                 .map(name -> name.replace(".java", "")).collect(Collectors.toSet());
         }
         Set<String> unknown = new TreeSet<>();
-        for (Matcher name = CLASS.matcher(Files.readString(PAGE)); name.find();) {
+        for (Matcher name = CLASS_NAME.matcher(Files.readString(PAGE)); name.find();) {
             if (!sources.contains(name.group(1))) {
                 unknown.add(name.group(1));
             }
--- a/src/test/java/badgermux/it/Await.java
+++ b/src/test/java/badgermux/it/Await.java
@@ -6,16 +6,16 @@
 final class Await {
     /** What is waited for. */
     interface Condition {
-        boolean holds() throws Exception;
+        boolean isMet() throws Exception;
     }
 
     private Await() { }
 
     /** Looks again and again until it holds. */
     static void until(String what, Condition condition) {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Peer.PATIENCE_S);
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakeServer.TIMEOUT_SECONDS);
         try {
-            while (!condition.holds()) {
+            while (!condition.isMet()) {
                 if (System.nanoTime() > end) {
                     throw new AssertionError("not in time: " + what);
                 }
@@ -27,11 +27,11 @@
     }
 
     /** The next request that any of these get. */
-    static Peer.Call next(Peer... peers) {
-        Peer.Call[] next = new Peer.Call[1];
+    static FakeServer.Exchange nextExchange(FakeServer... peers) {
+        FakeServer.Exchange[] next = new FakeServer.Exchange[1];
         until("a request", () -> {
-            for (Peer peer : peers) {
-                next[0] = next[0] == null ? peer.peek() : next[0];
+            for (FakeServer peer : peers) {
+                next[0] = next[0] == null ? peer.poll() : next[0];
             }
             return next[0] != null;
         });
--- a/src/test/java/badgermux/it/Client.java
+++ b/src/test/java/badgermux/it/Client.java
@@ -9,30 +9,30 @@
 /** A client of the program, on one connection. */
 final class Client implements Closeable {
     /** An answer. */
-    record Answer(int status, String head, String body) {
+    record Response(int status, String head, String body) {
         String header(String name) {
             return Client.header(head, name);
         }
     }
 
-    private static final java.util.concurrent.atomic.AtomicInteger IDS = new java.util.concurrent.atomic.AtomicInteger();
+    private static final java.util.concurrent.atomic.AtomicInteger REQUEST_COUNTER = new java.util.concurrent.atomic.AtomicInteger();
     private final Socket socket;
 
     Client(int port) throws IOException {
         socket = new Socket("127.0.0.1", port);
         socket.setTcpNoDelay(true);
-        socket.setSoTimeout(Peer.PATIENCE_S * 1000);
+        socket.setSoTimeout(FakeServer.TIMEOUT_SECONDS * 1000);
     }
 
     /** A request's text; its id is new. */
     static String request(String path, String timeout, String moreHeaders, String body) {
-        return "POST " + path + " HTTP/1.1\r\nHost: app.svc\r\nX-Request-ID: " + id() + "\r\nX-Timeout: " + timeout
+        return "POST " + path + " HTTP/1.1\r\nHost: app.svc\r\nX-Request-ID: " + nextRequestId() + "\r\nX-Timeout: " + timeout
             + "\r\n" + moreHeaders + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
     /** A new id, as clients form them. */
-    static String id() {
-        return String.format("%016x", 0x9b1f03aa5c7e0000L + IDS.incrementAndGet());
+    static String nextRequestId() {
+        return String.format("%016x", 0x9b1f03aa5c7e0000L + REQUEST_COUNTER.incrementAndGet());
     }
 
     Client send(String text) throws IOException {
@@ -40,21 +40,21 @@
         return this;
     }
 
-    Answer read() throws IOException {
-        String head = head(socket.getInputStream());
+    Response read() throws IOException {
+        String head = readHead(socket.getInputStream());
         if (head == null) {
             throw new AssertionError("closed without an answer");
         }
         byte[] body = socket.getInputStream().readNBytes(Integer.parseInt(header(head, "Content-Length")));
-        return new Answer(Integer.parseInt(head.substring(9, 12)), head, new String(body, StandardCharsets.UTF_8));
+        return new Response(Integer.parseInt(head.substring(9, 12)), head, new String(body, StandardCharsets.UTF_8));
     }
 
-    Answer ask(String path) throws IOException {
+    Response post(String path) throws IOException {
         return send(request(path, "5000m", "", "b")).read();
     }
 
     /** An admin call; {@code headers} are whole lines. */
-    Answer call(String method, String path, String headers, String body) throws IOException {
+    Response callAdmin(String method, String path, String headers, String body) throws IOException {
         byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
         socket.getOutputStream().write((method + ' ' + path + " HTTP/1.1\r\nHost: x\r\n" + headers + "Content-Length: "
             + bytes.length + "\r\n\r\n").getBytes(StandardCharsets.ISO_8859_1));
@@ -62,7 +62,7 @@
         return read();
     }
 
-    Answer get(String path) throws IOException {
+    Response get(String path) throws IOException {
         return send("GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n").read();
     }
 
@@ -78,20 +78,20 @@
     }
 
     /** Closes, and waits until the other side's system has the end: its socket waits for its own close then. */
-    void closeAndAwaitArrival() throws IOException {
+    void closeAndAwaitFin() throws IOException {
         int here = socket.getLocalPort();
         int there = socket.getPort();
         socket.close();
-        Await.until("the end's arrival", () -> Sockets.waitsForItsClose(there, here));
+        Await.until("the end's arrival", () -> SocketTables.isInCloseWait(there, here));
     }
 
     /** How many bytes have come that nobody has read. */
-    int unread() throws IOException {
+    int unreadBytes() throws IOException {
         return socket.getInputStream().available();
     }
 
     /** Whether the other side has closed, with nothing before. */
-    boolean isEnded() throws IOException {
+    boolean isClosedByServer() throws IOException {
         return socket.getInputStream().read() < 0;
     }
 
@@ -99,8 +99,8 @@
         socket.close();
     }
 
-    static String head(InputStream in) throws IOException {
-        byte[] head = Peer.untilEmptyLine(in);
+    static String readHead(InputStream in) throws IOException {
+        byte[] head = FakeServer.readHeadBytes(in);
         return head == null ? null : new String(head, StandardCharsets.ISO_8859_1);
     }
 
