--- a/src/test/java/badgermux/it/ContractIT.java
+++ b/src/test/java/badgermux/it/ContractIT.java
@@ -27,8 +27,8 @@
 /** Contracts on the real jar: what a description does not allow reaches no backend, and the admin API changes it. */
 @Timeout(90)
 class ContractIT {
-    private static final String JSON = "Content-Type: application/json\r\n";
-    private static final String OPEN = """
+    private static final String JSON_HEADER = "Content-Type: application/json\r\n";
+    private static final String OPENAPI_TEMPLATE = """
         {"openapi":"3.0.3","info":{"title":"t","version":"1"},"paths":{
          "/preview/{paper}":{"post":{"parameters":[{"name":"paper","in":"path","required":true,"schema":{"type":"string","pattern":"^[a-z]+$"}},
            {"name":"width","in":"query","schema":{"type":"integer","minimum":1}}],
@@ -39,7 +39,7 @@
          "/pay":{"post":{"responses":{"200":{"description":"ok"}}}},
          "/publish":{"post":{"x-results":"fail","responses":{"200":{"description":"ok","content":{"application/json":
            {"schema":{"type":"object","required":["url"]}}}}}}}}}""";
-    private static final String LINES = """
+    private static final String ASYNCAPI = """
         asyncapi: 3.0.0
         info: {title: t, version: '1'}
         channels: {p: {address: '/preview/{paper}', messages: MESSAGES}, o: {address: /pay, messages: MESSAGES}}
@@ -51,11 +51,11 @@
             + "{state: {const: running}}}}, done: {payload: {properties: {state: {const: done}}}}}");
 
     @TempDir private Path folder;
-    private Peer backend;
+    private FakeServer backend;
     private Program program;
 
     @BeforeEach void start() throws IOException {
-        backend = new Peer();
+        backend = new FakeServer();
         program = new Program(folder, member("s-1", backend, "east", "SERVING"), "--snapshot " + folder.resolve("s.json"));
     }
 
@@ -64,30 +64,30 @@
         backend.close();
     }
 
-    private static String open(int max) {
-        return OPEN.replace("MAX", String.valueOf(max));
+    private static String openApi(int max) {
+        return OPENAPI_TEMPLATE.replace("MAX", String.valueOf(max));
     }
 
-    private Client.Answer call(String method, String path, String headers, String body) throws IOException {
-        try (Client admin = program.admin()) {
-            return admin.call(method, path, headers, body);
+    private Client.Response callAdmin(String method, String path, String headers, String body) throws IOException {
+        try (Client admin = program.adminClient()) {
+            return admin.callAdmin(method, path, headers, body);
         }
     }
 
-    private Client.Answer put(String name, String body) throws IOException {
-        return call("PUT", "/v1/contracts/" + name, call("GET", "/v1/contracts/" + name, "", "").status() == 200
+    private Client.Response putDescription(String name, String body) throws IOException {
+        return callAdmin("PUT", "/v1/contracts/" + name, callAdmin("GET", "/v1/contracts/" + name, "", "").status() == 200
             ? "If-Match: *\r\n" : "", body);
     }
 
     /** Answers what comes with a result, on a thread of its own, and keeps the ids. */
-    private Set<String> serve(String result) {
+    private Set<String> serveInBackground(String result) {
         Set<String> seen = ConcurrentHashMap.newKeySet();
         Thread thread = new Thread(() -> {
             try {
                 while (true) {
-                    Peer.Call call = backend.take();
+                    FakeServer.Exchange call = backend.take();
                     assertTrue(seen.add(call.header("X-Request-ID")), "a second time");
-                    call.done(result);
+                    call.sendResult(result);
                 }
             } catch (InterruptedException | IOException | AssertionError e) {
                 // the test is over
@@ -99,36 +99,36 @@
     }
 
     /** A request of the mix: what is sent, and whether it conforms, by how it was made. */
-    private record Shot(String target, String headers, String body, int status) {
-        static Shot of(Random random) {
+    private record GeneratedRequest(String target, String headers, String body, int expectedStatus) {
+        static GeneratedRequest generate(Random random) {
             int pages = 1 + random.nextInt(100);
             String tags = random.nextBoolean() ? "" : ",\"tags\":[\"a" + random.nextInt(10) + "\",\"b\"]";
             String target = "/preview/" + "abcxyz".substring(random.nextInt(5)) + (random.nextBoolean() ? "" : "?width=" + (1 + random.nextInt(999)));
             String body = "{\"pages\":" + pages + tags + "}";
             return switch (random.nextInt(24)) {
-                case 0 -> new Shot(target, JSON, "{\"pages\":" + (101 + random.nextInt(999)) + "}", 422);
-                case 1 -> new Shot(target, JSON, "{\"pages\":\"" + pages + "\"}", 422);
-                case 2 -> new Shot(target, JSON, "{\"page\":" + pages + "}", 422);
-                case 3 -> new Shot(target, JSON, body.replace("}", ",\"more\":null}"), 422);
-                case 4 -> new Shot(target, JSON, "{\"pages\":1,\"tags\":[\"x\",\"x\"]}", 422);
-                case 5 -> new Shot(target, JSON, body.substring(0, body.length() - 1 - random.nextInt(4)), 400);
-                case 6 -> new Shot(target, JSON, "", 422);
-                case 7 -> new Shot(target, "Content-Type: text/xml\r\n", body, 415);
-                case 8 -> new Shot(target, "", body, 415);
-                case 9 -> new Shot(target.replace("preview/", "preview/A"), JSON, body, 422);
-                case 10 -> new Shot("/preview", JSON, body, 404);
-                case 11 -> new Shot("/preview/a?width=" + (random.nextBoolean() ? "0" : "wide"), JSON, body, 422);
-                case 12 -> new Shot("/preview/%zz", JSON, body, 400);
-                case 13 -> new Shot(target, JSON, "{\"pages\":1,\"pages\":" + pages + "}", 400);
-                case 14 -> new Shot(target, JSON, "{\"pages\":1,\"tags\":[\"" + "t".repeat(9 + random.nextInt(3_000)) + "\"]}", 422);
-                default -> new Shot(target, JSON, body, 200);
+                case 0 -> new GeneratedRequest(target, JSON_HEADER, "{\"pages\":" + (101 + random.nextInt(999)) + "}", 422);
+                case 1 -> new GeneratedRequest(target, JSON_HEADER, "{\"pages\":\"" + pages + "\"}", 422);
+                case 2 -> new GeneratedRequest(target, JSON_HEADER, "{\"page\":" + pages + "}", 422);
+                case 3 -> new GeneratedRequest(target, JSON_HEADER, body.replace("}", ",\"more\":null}"), 422);
+                case 4 -> new GeneratedRequest(target, JSON_HEADER, "{\"pages\":1,\"tags\":[\"x\",\"x\"]}", 422);
+                case 5 -> new GeneratedRequest(target, JSON_HEADER, body.substring(0, body.length() - 1 - random.nextInt(4)), 400);
+                case 6 -> new GeneratedRequest(target, JSON_HEADER, "", 422);
+                case 7 -> new GeneratedRequest(target, "Content-Type: text/xml\r\n", body, 415);
+                case 8 -> new GeneratedRequest(target, "", body, 415);
+                case 9 -> new GeneratedRequest(target.replace("preview/", "preview/A"), JSON_HEADER, body, 422);
+                case 10 -> new GeneratedRequest("/preview", JSON_HEADER, body, 404);
+                case 11 -> new GeneratedRequest("/preview/a?width=" + (random.nextBoolean() ? "0" : "wide"), JSON_HEADER, body, 422);
+                case 12 -> new GeneratedRequest("/preview/%zz", JSON_HEADER, body, 400);
+                case 13 -> new GeneratedRequest(target, JSON_HEADER, "{\"pages\":1,\"pages\":" + pages + "}", 400);
+                case 14 -> new GeneratedRequest(target, JSON_HEADER, "{\"pages\":1,\"tags\":[\"" + "t".repeat(9 + random.nextInt(3_000)) + "\"]}", 422);
+                default -> new GeneratedRequest(target, JSON_HEADER, body, 200);
             };
         }
     }
 
-    @Test void ofAMixTheInvalidReachNoBackendAndTheValidAreServed() throws Exception {
-        assertEquals(201, put("open", open(100)).status());
-        Set<String> seen = serve("r");
+    @Test void servesValidAndRefusesInvalidRequestsOfRandomMix() throws Exception {
+        assertEquals(201, putDescription("open", openApi(100)).status());
+        Set<String> seen = serveInBackground("r");
         Set<String> valid = ConcurrentHashMap.newKeySet();
         ExecutorService clients = Executors.newFixedThreadPool(8);
         List<Future<?>> done = new ArrayList<>();
@@ -137,15 +137,15 @@
             done.add(clients.submit(() -> {
                 try (Client client = program.client()) {
                     for (int shot = 0; shot < 260; shot++) {
-                        Shot next = Shot.of(random);
-                        String id = Client.id();
-                        if (next.status == 200) {
+                        GeneratedRequest next = GeneratedRequest.generate(random);
+                        String id = Client.nextRequestId();
+                        if (next.expectedStatus == 200) {
                             valid.add(id);
                         }
-                        Client.Answer answer = client.send("POST " + next.target + " HTTP/1.1\r\nHost: h\r\nX-Request-ID: " + id
+                        Client.Response answer = client.send("POST " + next.target + " HTTP/1.1\r\nHost: h\r\nX-Request-ID: " + id
                             + "\r\n" + next.headers + "Content-Length: " + next.body.length() + "\r\n\r\n" + next.body).read();
-                        assertEquals(next.status, answer.status(), () -> next + " " + answer.body());
-                        assertTrue(next.status == 200 || answer.header("Content-Type").equals("application/problem+json"));
+                        assertEquals(next.expectedStatus, answer.status(), () -> next + " " + answer.body());
+                        assertTrue(next.expectedStatus == 200 || answer.header("Content-Type").equals("application/problem+json"));
                     }
                 }
                 return null;
@@ -157,42 +157,42 @@
         clients.shutdown();
         assertEquals(valid, seen);
         assertTrue(valid.size() > 600 && valid.size() < 1_600, "a mix");
-        assertEquals(2_080 - valid.size(), program.count("contract_refused"));
-        assertEquals(valid.size(), program.count("reqs_taken"));
+        assertEquals(2_080 - valid.size(), program.counterValue("contract_refused"));
+        assertEquals(valid.size(), program.counterValue("reqs_taken"));
     }
 
-    @Test void aRequestRefusedLeavesItsConnectionAndItsIdUsable() throws IOException, InterruptedException {
-        put("open", open(100));
-        String id = Client.id();
-        String head = " HTTP/1.1\r\nHost: h\r\nX-Request-ID: " + id + "\r\n" + JSON;
+    @Test void connectionAndIdStayUsableAfterRefusal() throws IOException, InterruptedException {
+        putDescription("open", openApi(100));
+        String id = Client.nextRequestId();
+        String head = " HTTP/1.1\r\nHost: h\r\nX-Request-ID: " + id + "\r\n" + JSON_HEADER;
         try (Client client = program.client()) {
-            Client.Answer refused = client.send("POST /preview/a" + head + "Content-Length: 12\r\n\r\n{\"pages\":-1}").read();
+            Client.Response refused = client.send("POST /preview/a" + head + "Content-Length: 12\r\n\r\n{\"pages\":-1}").read();
             assertEquals(422, refused.status());
             assertTrue(refused.body().contains("\"pointer\":\"/pages\",\"keyword\":\"minimum\"")
                 && refused.body().contains("\"description\":\"open\"") && refused.body().contains("\"revision\":1"), refused.body());
             client.send("POST /preview/a" + head + "Content-Length: 11\r\n\r\n{\"pages\":1}");
-            backend.take().done("r");
+            backend.take().sendResult("r");
             assertEquals(200, client.read().status());
         }
     }
 
-    @Test void underTrafficEachRequestIsJudgedByOneRevisionAndAnsweredOnce() throws Exception {
-        put("open", open(100));
+    @Test void validatesEachRequestByOneRevisionWhileContractsChange() throws Exception {
+        putDescription("open", openApi(100));
         int requests = 200;
         List<Client> clients = new ArrayList<>();
-        Map<String, Peer.Call> calls = new ConcurrentHashMap<>();
+        Map<String, FakeServer.Exchange> calls = new ConcurrentHashMap<>();
         for (int i = 0; i < requests; i++) {
             if (i % 20 == 10) {
                 // Half of the new descriptions can't be used, and change nothing.
-                Client.Answer answer = put("open", i % 40 == 10 ? open(100).replace("\"type\":\"object\"", "\"type\":\"oject\",\"pattern\":\"(?=a)\"")
-                    : open(100 + i));
+                Client.Response answer = putDescription("open", i % 40 == 10 ? openApi(100).replace("\"type\":\"object\"", "\"type\":\"oject\",\"pattern\":\"(?=a)\"")
+                    : openApi(100 + i));
                 assertEquals(i % 40 == 10 ? 422 : 200, answer.status(), answer.body());
             }
             Client client = program.client();
             clients.add(client);
-            client.send(Client.request("/preview/a", "5000m", JSON, "{\"pages\":" + (i < 30 ? 100 : 120) + "}"));
+            client.send(Client.request("/preview/a", "5000m", JSON_HEADER, "{\"pages\":" + (i < 30 ? 100 : 120) + "}"));
             if (i < 30) {
-                Peer.Call call = backend.take().accept();
+                FakeServer.Exchange call = backend.take().sendStarted();
                 assertNull(calls.put(call.header("X-Request-ID"), call));
             }
         }
@@ -201,15 +201,15 @@
             try {
                 calls.values().forEach(call -> {
                     try {
-                        call.line("done", ",\"result\":\"r\"").end();
+                        call.sendLine("done", ",\"result\":\"r\"").endResponse();
                     } catch (IOException e) {
                         throw new AssertionError(e);
                     }
                 });
                 while (true) {
-                    Peer.Call call = backend.take();
+                    FakeServer.Exchange call = backend.take();
                     assertNull(calls.put(call.header("X-Request-ID"), call));
-                    call.done("r");
+                    call.sendResult("r");
                 }
             } catch (InterruptedException | IOException | AssertionError e) {
                 // the test is over
@@ -219,148 +219,148 @@
         answering.start();
         int served = 0;
         for (int i = 0; i < requests; i++) {
-            Client.Answer answer = clients.get(i).read();
+            Client.Response answer = clients.get(i).read();
             assertTrue(i < 30 ? answer.status() == 200 : answer.status() == 200 || answer.status() == 503, i + " " + answer.head());
             served += answer.status() == 200 ? 1 : 0;
-            assertEquals(0, clients.get(i).unread(), "a second answer");
+            assertEquals(0, clients.get(i).unreadBytes(), "a second answer");
             clients.get(i).close();
         }
         assertEquals(served, calls.size());
         assertTrue(served >= 100, "served " + served);
-        String overview = call("GET", "/v1/contracts", "", "").body();
+        String overview = callAdmin("GET", "/v1/contracts", "", "").body();
         assertTrue(overview.contains("\"alive\": [\n    {\n      \"revision\": 6,\n      \"open\": 0\n    }\n  ]"), overview);
-        assertEquals(0, program.count("exceptions"));
+        assertEquals(0, program.counterValue("exceptions"));
     }
 
-    @Test void anAnswerOutOfOrderEndsItsAttemptAsOneThatMayHaveRun() throws IOException, InterruptedException {
-        put("open", open(100));
-        assertEquals(201, put("lines", LINES).status());
+    @Test void treatsOutOfOrderResponseAsMayHaveRun() throws IOException, InterruptedException {
+        putDescription("open", openApi(100));
+        assertEquals(201, putDescription("lines", ASYNCAPI).status());
         try (Client client = program.client()) {
             // A class that may run once only: it fails, and runs no second time.
             for (String first : new String[] {"done", "running"}) {
                 client.send(Client.request("/pay", "5000m", "", ""));
-                Peer.Call call = backend.take().send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-                call.line(first, ",\"result\":\"r\"");
+                FakeServer.Exchange call = backend.take().send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+                call.sendLine(first, ",\"result\":\"r\"");
                 assertEquals(500, client.read().status());
-                assertTrue(call.isEnded());
-                assertNull(backend.peek());
+                assertTrue(call.isClosedByClient());
+                assertNull(backend.poll());
             }
             client.send(Client.request("/pay", "5000m", "", ""));
-            Peer.Call twice = backend.take().accept().line("running", "").line("started", "");
+            FakeServer.Exchange twice = backend.take().sendStarted().sendLine("running", "").sendLine("started", "");
             assertEquals(500, client.read().status());
-            assertTrue(twice.isEnded());
+            assertTrue(twice.isClosedByClient());
             // Cut anywhere, a line is judged when it is whole.
             client.send(Client.request("/pay", "5000m", "", ""));
-            Peer.Call cut = backend.take().accept();
+            FakeServer.Exchange cut = backend.take().sendStarted();
             String line = "{\"id\":\"" + cut.header("X-Request-ID") + "\",\"state\":\"done\",\"result\":\"r\"}\n";
             for (char c : line.toCharArray()) {
                 cut.send("1\r\n" + c + "\r\n");
             }
-            cut.end();
+            cut.endResponse();
             assertEquals("r", client.read().body());
             // One that may be repeated is.
-            client.send(Client.request("/preview/a", "5000m", JSON, "{\"pages\":1}"));
-            backend.take().accept().line("started", "");
-            backend.take().done("r");
+            client.send(Client.request("/preview/a", "5000m", JSON_HEADER, "{\"pages\":1}"));
+            backend.take().sendStarted().sendLine("started", "");
+            backend.take().sendResult("r");
             assertEquals(200, client.read().status());
         }
-        assertEquals(4, program.count("contract_lines_bad"));
+        assertEquals(4, program.counterValue("contract_lines_bad"));
     }
 
-    @Test void aResultThatDoesNotConformFailsAKeyedRequestWithoutASecondRun() throws IOException, InterruptedException {
-        put("open", open(100));
+    @Test void failsKeyedRequestOnInvalidResultWithoutRetry() throws IOException, InterruptedException {
+        putDescription("open", openApi(100));
         try (Client client = program.client()) {
             client.send(Client.request("/publish", "5000m", "Idempotency-Key: k\r\n", ""));
-            backend.take().done("no JSON");
+            backend.take().sendResult("no JSON");
             assertEquals(500, client.read().status());
-            assertNull(backend.peek());
+            assertNull(backend.poll());
             client.send(Client.request("/publish", "5000m", "Idempotency-Key: k2\r\n", ""));
-            backend.take().done("{\\\"url\\\":\\\"u\\\"}");
+            backend.take().sendResult("{\\\"url\\\":\\\"u\\\"}");
             assertEquals("{\"url\":\"u\"}", client.read().body());
         }
-        assertEquals(1, program.count("contract_results_bad"));
-        assertEquals(2, program.count("fetches_sent"));
+        assertEquals(1, program.counterValue("contract_results_bad"));
+        assertEquals(2, program.counterValue("fetches_sent"));
     }
 
-    @Test void changesAreGuardedReportedAndKept() throws Exception {
-        assertEquals(422, put("open", "{\"openapi\":\"3.0.3\",\n\"paths\":{\"/a\":{\"post\":{\"parameters\":[{}]}}}}").status());
-        assertEquals(404, call("GET", "/v1/contracts/open", "", "").status());
-        assertEquals("\"1\"", put("open", open(100)).header("ETag"));
-        serve("r");
+    @Test void checksReportsAndPersistsContractChanges() throws Exception {
+        assertEquals(422, putDescription("open", "{\"openapi\":\"3.0.3\",\n\"paths\":{\"/a\":{\"post\":{\"parameters\":[{}]}}}}").status());
+        assertEquals(404, callAdmin("GET", "/v1/contracts/open", "", "").status());
+        assertEquals("\"1\"", putDescription("open", openApi(100)).header("ETag"));
+        serveInBackground("r");
         try (Client client = program.client()) {
-            assertEquals(200, client.send(Client.request("/preview/a", "5000m", JSON, "{\"pages\":50}")).read().status());
-            Client.Answer dry = call("PUT", "/v1/contracts/open?dry-run=true", "", open(10));
+            assertEquals(200, client.send(Client.request("/preview/a", "5000m", JSON_HEADER, "{\"pages\":50}")).read().status());
+            Client.Response dry = callAdmin("PUT", "/v1/contracts/open?dry-run=true", "", openApi(10));
             assertTrue(dry.body().contains("maximum is now 10") && dry.body().contains("\"newlyRefused\": 1"), dry.body());
-            assertEquals(200, client.send(Client.request("/preview/a", "5000m", JSON, "{\"pages\":50}")).read().status());
-            assertEquals(428, call("PUT", "/v1/contracts/open", "", open(10)).status());
-            assertEquals(412, call("PUT", "/v1/contracts/open", "If-Match: \"9\"\r\n", open(10)).status());
-            assertEquals(200, call("PUT", "/v1/contracts/open", "If-Match: \"1\"\r\n", open(10)).status());
-            assertEquals(422, client.send(Client.request("/preview/a", "5000m", JSON, "{\"pages\":50}")).read().status());
-            assertEquals(404, client.send(Client.request("/preview/a/b", "5000m", JSON, "{}")).read().status());
-            assertEquals(200, call("PUT", "/v1/contracts", "", "{\"undescribed\":\"pass\"}").status());
-            assertEquals(200, client.send(Client.request("/preview/a/b", "5000m", JSON, "{}")).read().status());
+            assertEquals(200, client.send(Client.request("/preview/a", "5000m", JSON_HEADER, "{\"pages\":50}")).read().status());
+            assertEquals(428, callAdmin("PUT", "/v1/contracts/open", "", openApi(10)).status());
+            assertEquals(412, callAdmin("PUT", "/v1/contracts/open", "If-Match: \"9\"\r\n", openApi(10)).status());
+            assertEquals(200, callAdmin("PUT", "/v1/contracts/open", "If-Match: \"1\"\r\n", openApi(10)).status());
+            assertEquals(422, client.send(Client.request("/preview/a", "5000m", JSON_HEADER, "{\"pages\":50}")).read().status());
+            assertEquals(404, client.send(Client.request("/preview/a/b", "5000m", JSON_HEADER, "{}")).read().status());
+            assertEquals(200, callAdmin("PUT", "/v1/contracts", "", "{\"undescribed\":\"pass\"}").status());
+            assertEquals(200, client.send(Client.request("/preview/a/b", "5000m", JSON_HEADER, "{}")).read().status());
         }
         program.close();
         program = new Program(folder, member("s-1", backend, "east", "SERVING"), "--snapshot " + folder.resolve("s.json"));
         try (Client client = program.client()) {
-            assertEquals(422, client.send(Client.request("/preview/a", "5000m", JSON, "{\"pages\":50}")).read().status());
-            assertEquals(200, client.send(Client.request("/preview/a/b", "5000m", JSON, "{}")).read().status());
-            assertEquals(200, call("DELETE", "/v1/contracts/open", "If-Match: \"2\"\r\n", "").status());
-            assertEquals(200, client.send(Client.request("/preview/a", "5000m", JSON, "{\"pages\":50}")).read().status());
+            assertEquals(422, client.send(Client.request("/preview/a", "5000m", JSON_HEADER, "{\"pages\":50}")).read().status());
+            assertEquals(200, client.send(Client.request("/preview/a/b", "5000m", JSON_HEADER, "{}")).read().status());
+            assertEquals(200, callAdmin("DELETE", "/v1/contracts/open", "If-Match: \"2\"\r\n", "").status());
+            assertEquals(200, client.send(Client.request("/preview/a", "5000m", JSON_HEADER, "{\"pages\":50}")).read().status());
         }
     }
 
-    @Test void aSnapshotThatCantBeUsedIsToldInOneLineAndNotHalfUsed() throws Exception {
-        put("open", open(100));
+    @Test void exitsWithOneLineOnUnusableSnapshot() throws Exception {
+        putDescription("open", openApi(100));
         String good = Files.readString(folder.resolve("s.json"));
         assertFalse(Files.exists(folder.resolve("s.json.new")));
         for (String[] row : new String[][] {{good.replace("maximum", "minimum"), "damaged: the checksum"},
             {good.substring(0, good.length() / 2), "damaged: not a JSON object"}, {good.replace("\"version\":1}", "\"version\":2}"), "newer program"},
             {"{}", "not a snapshot"}}) {
             Files.writeString(folder.resolve("bad.json"), row[0]);
-            try (Program other = new Program(Program.command() + " --snapshot " + folder.resolve("bad.json"), folder.resolve("config.json"))) {
-                String line = other.log();
+            try (Program other = new Program(Program.runCommand() + " --snapshot " + folder.resolve("bad.json"), folder.resolve("config.json"))) {
+                String line = other.readLogLine();
                 assertTrue(line.startsWith("badgermux: --snapshot: ") && line.contains(row[1]), line);
-                assertNull(other.log());
+                assertNull(other.readLogLine());
                 assertEquals(2, other.process.waitFor());
             }
         }
     }
 
-    @Test void whereNothingCanBeWrittenItServesOnAndSaysSoOnce() throws Exception {
+    @Test void servesAndLogsOnceWhenSnapshotCannotBeWritten() throws Exception {
         try (Program other = new Program(folder, member("s-1", backend, "east", "SERVING"), "--snapshot " + folder.resolve("none/s.json"));
-            Client admin = other.admin(); Client client = other.client()) {
-            assertTrue(admin.call("PUT", "/v1/contracts/open", "", open(100)).body().contains("\"kept\": false"));
-            assertEquals(200, admin.call("PUT", "/v1/contracts/open", "If-Match: *\r\n", open(50)).status());
+            Client admin = other.adminClient(); Client client = other.client()) {
+            assertTrue(admin.callAdmin("PUT", "/v1/contracts/open", "", openApi(100)).body().contains("\"kept\": false"));
+            assertEquals(200, admin.callAdmin("PUT", "/v1/contracts/open", "If-Match: *\r\n", openApi(50)).status());
             int told = 0;
-            for (String line = other.log(); !line.contains("contracts revision 2"); line = other.log()) {
+            for (String line = other.readLogLine(); !line.contains("contracts revision 2"); line = other.readLogLine()) {
                 told += line.contains("can't be written") ? 1 : 0;
             }
             assertEquals(1, told);
-            assertEquals(422, client.send(Client.request("/preview/a", "5000m", JSON, "{\"pages\":70}")).read().status());
+            assertEquals(422, client.send(Client.request("/preview/a", "5000m", JSON_HEADER, "{\"pages\":70}")).read().status());
         }
     }
 
-    @Test void callsOnConnectionsOfTheirOwnFollowEachOtherAtOnce() throws IOException {
+    @Test void acceptsAdminCallsOnSeparateConnectionsInSuccession() throws IOException {
         for (int i = 0; i < 40; i++) {
-            assertEquals(200, call("GET", "/v1/contracts", "Connection: close\r\n", "").status());
+            assertEquals(200, callAdmin("GET", "/v1/contracts", "Connection: close\r\n", "").status());
         }
     }
 
-    @Test void theAdminApiAsksForItsToken() throws Exception {
+    @Test void adminApiRequiresToken() throws Exception {
         Path token = Files.writeString(folder.resolve("token"), "0123456789abcdef\n");
         try (Program other = new Program(folder, "", "--admin-token-file " + token)) {
             for (String[] row : new String[][] {{"", "401"}, {"Authorization: Bearer 0123456789abcdeg\r\n", "401"},
                 {"Authorization: Bearer 0123456789abcdef\r\nOrigin: http://x\r\n", "403"},
                 {"Authorization: bearer 0123456789abcdef\r\n", "200"}}) {
-                try (Client admin = other.admin()) {
-                    assertEquals(row[1], String.valueOf(admin.call("GET", "/v1/contracts", row[0], "").status()));
+                try (Client admin = other.adminClient()) {
+                    assertEquals(row[1], String.valueOf(admin.callAdmin("GET", "/v1/contracts", row[0], "").status()));
                 }
             }
         }
         for (String options : new String[] {"--admin 10.0.0.1:1", "--admin 127.0.0.1:0 --admin-token-file " + folder.resolve("none"),
             "--admin nonsense", "--wrong"}) {
-            try (Program other = new Program(Program.command() + " " + options, folder.resolve("config.json"))) {
+            try (Program other = new Program(Program.runCommand() + " " + options, folder.resolve("config.json"))) {
                 assertEquals(2, other.process.waitFor(), options);
             }
         }
--- a/src/test/java/badgermux/it/DiscoveryIT.java
+++ b/src/test/java/badgermux/it/DiscoveryIT.java
@@ -25,12 +25,12 @@
 @Timeout(60)
 class DiscoveryIT {
     @TempDir private Path folder;
-    private Peer backend;
+    private FakeServer backend;
     private Program program;
 
     @BeforeEach void start() throws IOException {
-        backend = new Peer();
-        program = Program.onCall(folder, member("s-1", backend, "east", "SERVING"), 1024);
+        backend = new FakeServer();
+        program = Program.startWithConsole(folder, member("s-1", backend, "east", "SERVING"), 1024);
     }
 
     @AfterEach void stop() throws IOException {
@@ -38,10 +38,10 @@
         backend.close();
     }
 
-    private void servedBy(Peer at) throws IOException, InterruptedException {
+    private void assertServedBy(FakeServer at) throws IOException, InterruptedException {
         try (Client client = program.client()) {
             client.send(Client.request("/preview", "5000m", "", ""));
-            at.take().done("r");
+            at.take().sendResult("r");
             assertEquals(200, client.read().status());
         }
     }
@@ -50,32 +50,32 @@
         return "{\"revision\":" + revision + ",\"complete\":" + complete + ",\"members\":[" + members + "]}";
     }
 
-    private static String members(int count, Peer at) {
+    private static String members(int count, FakeServer at) {
         return IntStream.range(0, count).mapToObj(i -> member("r-" + i, at, "west", "SERVING"))
             .collect(Collectors.joining(","));
     }
 
     /** An older list once brought back who had left, and took away who had come. */
-    @Test void theListInHandGoesOnWhateverDiscoveryDoes() throws IOException, InterruptedException {
+    @Test void keepsCurrentListWhateverDiscoveryAnswers() throws IOException, InterruptedException {
         program.discovery.take().reply("200 OK", list(5, false, ""));
         program.discovery.take().reply("503 Busy", "");
-        servedBy(backend);
+        assertServedBy(backend);
         program.discovery.take().reset();
         program.discovery.take().send("HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n" + list(6, true, "").substring(9)).reset();
-        servedBy(backend);
+        assertServedBy(backend);
         program.discovery.take().reply("200 OK", list(4, true, ""));
-        Peer.Call next = program.discovery.take();
+        FakeServer.Exchange next = program.discovery.take();
         assertTrue(next.head.startsWith("GET /v1/servers?since=5&"), next.head);
-        servedBy(backend);
-        assertEquals(4, program.count("director_failures"));
+        assertServedBy(backend);
+        assertEquals(4, program.counterValue("director_failures"));
         next.reply("200 OK", list(6, false, members(500, backend)));
         program.discovery.take().reply("200 OK", list(7, true, member("s-1", backend, "east", "SERVING")));
         program.discovery.take();
-        servedBy(backend);
-        assertEquals(1, program.figure("cluster_size"), "it has been 501");
+        assertServedBy(backend);
+        assertEquals(1, program.dumpValue("cluster_size"), "it has been 501");
         program.process.toHandle().destroy();
         List<String> log = new ArrayList<>();
-        for (String line = program.log(); line != null; line = program.log()) {
+        for (String line = program.readLogLine(); line != null; line = program.readLogLine()) {
             log.add(line);
         }
         assertEquals(1, log.stream().filter(line -> line.contains("Discovery request failed: status 503")).count(), log::toString);
@@ -83,65 +83,65 @@
         assertEquals(1, log.stream().filter(line -> line.contains("Discovery requests succeed again")).count());
     }
 
-    @Test void discoveryThatTakesACallAndFallsSilentIsAskedAgain() throws IOException, InterruptedException {
-        Peer.Call silent = program.discovery.take();
-        assertTrue(silent.isEnded(), "after the wait that was asked for and a little more");
+    @Test void watchesAgainWhenDiscoveryFallsSilent() throws IOException, InterruptedException {
+        FakeServer.Exchange silent = program.discovery.take();
+        assertTrue(silent.isClosedByClient(), "after the wait that was asked for and a little more");
         program.discovery.take();
-        servedBy(backend);
+        assertServedBy(backend);
     }
 
     /**
      * What a silent watch misses counts as told 6 s after it fell silent, which may be as it begins: the call made anew has
      * to be answered by then, also where it is refused once.
      */
-    @Test void aWatchThatFellSilentIsOpenedAnewInTimeForADrainThatItMissed() throws IOException, InterruptedException {
-        Peer other = new Peer();
+    @Test void reopensSilentWatchInTimeForMissedDrain() throws IOException, InterruptedException {
+        FakeServer other = new FakeServer();
         long before = System.nanoTime();
-        Peer.Call silent = program.discovery.take();
-        Peer.Call again = program.discovery.take();
+        FakeServer.Exchange silent = program.discovery.take();
+        FakeServer.Exchange again = program.discovery.take();
         long millis = (System.nanoTime() - before) / 1_000_000;
         assertTrue(millis > 3_500 && millis < 4_600, "after the wait and a second: " + millis);
-        assertTrue(silent.isEnded());
+        assertTrue(silent.isClosedByClient());
         again.reply("200 OK", list(2, false, member("s-1", backend, "east", "DRAINING") + ','
             + member("s-2", other, "east", "SERVING")));
         program.discovery.take();
-        servedBy(other);
-        assertEquals(0, program.count("director_failures"));
-        assertEquals(1, program.count("director_silences"));
+        assertServedBy(other);
+        assertEquals(0, program.counterValue("director_failures"));
+        assertEquals(1, program.counterValue("director_silences"));
         other.close();
     }
 
     /** For ten seconds nothing was believed of a discovery service that counts its revisions from the start again, drains included. */
-    @Test void whoDrainsInAnOlderListGetsNothingNewAndTheWholeIsAskedFor() throws IOException, InterruptedException {
-        Peer other = new Peer();
+    @Test void appliesDrainsOfOlderListAndRequestsFullList() throws IOException, InterruptedException {
+        FakeServer other = new FakeServer();
         program.discovery.take().reply("200 OK", list(40, false, member("s-2", other, "east", "SERVING")));
         program.discovery.take().reply("200 OK", list(3, false, member("s-1", backend, "east", "DRAINING") + ','
             + member("s-9", backend, "east", "SERVING")));
-        Peer.Call whole = program.discovery.take();
+        FakeServer.Exchange whole = program.discovery.take();
         assertTrue(whole.head.startsWith("GET /v1/servers?since=0&"), whole.head);
         for (int i = 0; i < 5; i++) {
-            servedBy(other);
+            assertServedBy(other);
         }
-        assertNull(backend.peek(), "it drains, and who stands in an older list only is not brought back");
+        assertNull(backend.poll(), "it drains, and who stands in an older list only is not brought back");
         whole.reply("200 OK", list(4, true, member("s-1", backend, "east", "SERVING")));
         assertTrue(program.discovery.take().head.startsWith("GET /v1/servers?since=4&"));
-        servedBy(backend);
+        assertServedBy(backend);
         other.close();
     }
 
-    @Test void anAddressThatANewRunnerTakesOverIsItsOwn() throws IOException, InterruptedException {
-        Peer other = new Peer();
-        servedBy(backend);
+    @Test void addressTakenOverByNewBackendBelongsToIt() throws IOException, InterruptedException {
+        FakeServer other = new FakeServer();
+        assertServedBy(backend);
         program.discovery.take().reply("200 OK", list(2, false, member("s-1", backend, "east", "DELETED") + ','
             + member("s-2", backend, "east", "SERVING")));
         program.discovery.take().reply("200 OK", list(3, false, member("s-2", backend, "east", "DELETED") + ','
             + member("s-1", other, "east", "SERVING")));
         program.discovery.take();
         for (int i = 0; i < 3; i++) {
-            servedBy(other);
+            assertServedBy(other);
         }
-        assertNull(backend.peek(), "both ids have left this address");
-        assertEquals(1, program.figure("cluster_size"));
+        assertNull(backend.poll(), "both ids have left this address");
+        assertEquals(1, program.dumpValue("cluster_size"));
         other.close();
     }
 
@@ -149,42 +149,42 @@
      * A list that is pushed was never asked for: all went to the runners of the configuration until the first SIGHUP,
      * whoever had drained, left or come.
      */
-    @Test void whereAnAgentPushesTheListItIsWatchedFromTheStartAndThroughFailures() throws IOException, InterruptedException {
-        Peer other = new Peer();
+    @Test void watchesPushedListFromStartAndThroughFailures() throws IOException, InterruptedException {
+        FakeServer other = new FakeServer();
         try (Program pushed = new Program(folder, member("s-1", backend, "east", "SERVING"), 1024,
                 Program.SETTINGS.replace("on_request", "pushed")); Client client = pushed.client()) {
-            Peer.Call first = pushed.discovery.take();
+            FakeServer.Exchange first = pushed.discovery.take();
             assertTrue(first.head.startsWith("GET /v1/servers?since=1&"), first.head);
             first.reply("200 OK", list(2, false, member("s-1", backend, "east", "DRAINING") + ','
                 + member("s-2", other, "east", "SERVING")));
             pushed.discovery.take().reset();
             pushed.discovery.take().reply("503 Busy", "");
-            Peer.Call again = pushed.discovery.take();
+            FakeServer.Exchange again = pushed.discovery.take();
             assertTrue(again.head.startsWith("GET /v1/servers?since=2&"), again.head);
             for (int i = 0; i < 5; i++) {
                 client.send(Client.request("/preview", "5000m", "", ""));
-                other.take().done("r");
+                other.take().sendResult("r");
                 assertEquals(200, client.read().status());
             }
-            assertNull(backend.peek(), "it drains");
+            assertNull(backend.poll(), "it drains");
         }
         other.close();
     }
 
-    @Test void aThousandIndentedRunnersAndAThousandDispatchersFitTheLeastOfDescriptors() throws IOException, InterruptedException {
+    @Test void handlesThousandBackendsAndDispatchersWithMinimumDescriptors() throws IOException, InterruptedException {
         String settings = Program.SETTINGS.replaceFirst("\\{", "{\"Balancers\":1024,\"Me\":1023,");
         String whole = new GsonBuilder().setPrettyPrinting().create()
             .toJson(JsonParser.parseString(list(2, true, members(1024, backend))));
         assertTrue(whole.lines().count() > 8 * 1024);
-        try (Program large = Program.onCall(Files.createDirectory(folder.resolve("large")), members(1024, backend), 128, settings)) {
-            large.readLog();
+        try (Program large = Program.startWithConsole(Files.createDirectory(folder.resolve("large")), members(1024, backend), 128, settings)) {
+            large.discardLog();
             large.discovery.take().reply("200 OK", whole);
             large.discovery.take();
-            assertEquals(1024, large.figure("cluster_size"));
+            assertEquals(1024, large.dumpValue("cluster_size"));
             for (int i = 0; i < 100; i++) {
                 try (Client client = large.client()) {
                     client.send(Client.request("/preview", "5000m", "", ""));
-                    backend.take().done("r");
+                    backend.take().sendResult("r");
                     assertEquals(200, client.read().status());
                 }
             }
@@ -199,23 +199,23 @@
     }
 
     /** 44 connections to runners are all that 128 descriptors leave: each probe of one more closes an idle one. */
-    @Test void withTwoHundredRunnersIdleConnectionsMakeRoom() throws IOException, InterruptedException {
+    @Test void closesIdleConnectionsToProbeTwoHundredBackends() throws IOException, InterruptedException {
         String probing = Program.SETTINGS.replace("\"silent\"", "\"pull\"").replace("\"Cancel\"", "\"Probes\":true,\"Cancel\"");
         try (Program small = new Program(folder, members(200, backend), 128, probing); Client client = small.client()) {
             for (int i = 0; i < 60; i++) {
                 client.send(Client.request("/preview", "5000m", "", ""));
-                Peer.Call call = backend.take();
+                FakeServer.Exchange call = backend.take();
                 while (call.head.startsWith("GET")) {
                     call.reply("200 OK", "TEXT x0=2, x1=2, recent_ms=0, throughput=0");
                     call = backend.take();
                 }
-                call.done("r");
+                call.sendResult("r");
                 assertEquals(200, client.read().status());
             }
-            assertTrue(small.count("backend_connects") > 100, "far more than fit");
-            assertTrue(small.count("backend_connections_open") <= 44);
-            assertEquals(0, small.count("backend_connections_over_cap"));
-            assertEquals(60, small.count("fetches_served"));
+            assertTrue(small.counterValue("backend_connects") > 100, "far more than fit");
+            assertTrue(small.counterValue("backend_connections_open") <= 44);
+            assertEquals(0, small.counterValue("backend_connections_over_cap"));
+            assertEquals(60, small.counterValue("fetches_served"));
         }
     }
 }
--- a/src/test/java/badgermux/it/StandInDiscovery.java
+++ b/src/test/java/badgermux/it/FakeDiscovery.java
@@ -18,11 +18,11 @@
  * A discovery service that fails in a mode of the test's choice and then comes back. It keeps a ledger of the calls that it
  * got. What was called while it failed stays as it is when it comes back: nobody answers it.
  */
-final class StandInDiscovery implements Closeable {
+final class FakeDiscovery implements Closeable {
     /** How it fails. */
     enum Mode {
         /** It answers, and waits as long as it is asked to. */
-        WELL,
+        NORMAL,
         /** Nobody listens: connections are refused. */
         REFUSED,
         /** New connections never come up; open ones are reset. */
@@ -34,37 +34,37 @@
         /** Calls are taken, and nothing is answered. */
         SILENT,
         /** Half an answer, and no more. */
-        HALF,
+        PARTIAL,
         /** An old answer that goes on coming, a byte at a time. */
         TRICKLE,
         /** A list that is no JSON. */
         MALFORMED,
         /** It has begun anew: the list it has is of an older revision. */
-        OLDER
+        OLDER_REVISION
     }
 
     /** A call that it got. */
-    record Entry(long nanos, Mode mode, long since, long waitMillis) { }
+    record RecordedCall(long receivedNanos, Mode mode, long sinceRevision, long waitMillis) { }
 
-    private static final Pattern CALL = Pattern.compile("since=(\\d+)&timeout_ms=(\\d+) ");
+    private static final Pattern WATCH_REQUEST = Pattern.compile("since=(\\d+)&timeout_ms=(\\d+) ");
     private static final int BACKLOG = 64;
-    private static final int DEAD_CONNECTIONS = 8;
-    private static final long BYTE_MILLIS = 20;
+    private static final int MAX_BACKLOG_FILLERS = 8;
+    private static final long BYTE_INTERVAL_MILLIS = 20;
 
     private final int port;
-    private final List<Entry> ledger = new ArrayList<>();
-    private final List<Socket> open = new ArrayList<>();
-    private final List<Socket> fillers = new ArrayList<>();
+    private final List<RecordedCall> recordedCalls = new ArrayList<>();
+    private final List<Socket> openSockets = new ArrayList<>();
+    private final List<Socket> backlogFillers = new ArrayList<>();
     private ServerSocket server;
-    private Mode mode = Mode.WELL;
+    private Mode mode = Mode.NORMAL;
     private long revision = 1;
     private String members = "";
     private boolean complete;
-    private int failures;
-    private int refusals;
-    private long refusalMillis;
+    private int failureCount;
+    private int remainingRefusals;
+    private long refusalDelayMillis;
 
-    StandInDiscovery() throws IOException {
+    FakeDiscovery() throws IOException {
         listen(0, BACKLOG);
         port = server.getLocalPort();
     }
@@ -84,22 +84,22 @@
     }
 
     private void accept(ServerSocket socket) {
-        thread(() -> {
+        startDaemon(() -> {
             while (true) {
                 Socket next = socket.accept();
                 synchronized (this) {
-                    open.add(next);
+                    openSockets.add(next);
                 }
-                thread(() -> serve(next));
+                startDaemon(() -> serve(next));
             }
         });
     }
 
-    private interface Work {
+    private interface IoTask {
         void run() throws IOException, InterruptedException;
     }
 
-    private static void thread(Work work) {
+    private static void startDaemon(IoTask work) {
         Thread thread = new Thread(() -> {
             try {
                 work.run();
@@ -112,18 +112,18 @@
     }
 
     /** Fails in this mode from here on; calls that wait for news get none any more. */
-    synchronized void fail(Mode next) throws IOException {
+    synchronized void failWith(Mode next) throws IOException {
         boolean down = server.isClosed();
         mode = next;
-        failures++;
+        failureCount++;
         notifyAll();
         if (next == Mode.REFUSED || next == Mode.UNREACHABLE) {
             server.close();
-            for (Socket socket : open) {
+            for (Socket socket : openSockets) {
                 socket.setSoLinger(true, 0);
                 socket.close();
             }
-            open.clear();
+            openSockets.clear();
         }
         if (next == Mode.UNREACHABLE) {
             listen(port, 1);
@@ -135,9 +135,9 @@
 
     /** So many connections that nobody accepts that no other comes up. */
     private void fillBacklog() throws IOException {
-        for (int i = 0; i < DEAD_CONNECTIONS; i++) {
+        for (int i = 0; i < MAX_BACKLOG_FILLERS; i++) {
             Socket filler = new Socket();
-            fillers.add(filler);
+            backlogFillers.add(filler);
             try {
                 filler.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 50);
             } catch (IOException e) {
@@ -148,15 +148,15 @@
     }
 
     /** Can be reached again, with this list; returns when, in nanoseconds. */
-    synchronized long comeBack(long newRevision, String newMembers, boolean whole) throws IOException {
+    synchronized long recover(long newRevision, String newMembers, boolean whole) throws IOException {
         revision = newRevision;
         members = newMembers;
         complete = whole;
         Mode before = mode;
-        mode = Mode.WELL;
+        mode = Mode.NORMAL;
         if (before == Mode.UNREACHABLE) {
             server.close();
-            for (Socket filler : fillers) {
+            for (Socket filler : backlogFillers) {
                 filler.close();
             }
         }
@@ -168,28 +168,28 @@
     }
 
     /** Has so many more calls answered 503 once it is well, each after so long: it has too many callers. */
-    synchronized void refuse(int calls, long afterMillis) {
-        refusals = calls;
-        refusalMillis = afterMillis;
+    synchronized void refuseCalls(int calls, long afterMillis) {
+        remainingRefusals = calls;
+        refusalDelayMillis = afterMillis;
     }
 
     /** How many calls it got in a mode. */
-    synchronized long calls(Mode in) {
-        return ledger.stream().filter(entry -> entry.mode == in).count();
+    synchronized long callCount(Mode in) {
+        return recordedCalls.stream().filter(entry -> entry.mode == in).count();
     }
 
     /** When the caller was first seen to hold a revision, in nanoseconds since a moment; waits for it. */
-    synchronized long millisUntilHeld(long heldRevision, long sinceNanos) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(2 * Peer.PATIENCE_S);
+    synchronized long millisUntilRevision(long heldRevision, long sinceNanos) throws InterruptedException {
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(2 * FakeServer.TIMEOUT_SECONDS);
         while (true) {
-            for (Entry entry : ledger) {
-                if (entry.nanos >= sinceNanos && entry.since == heldRevision) {
-                    return TimeUnit.NANOSECONDS.toMillis(entry.nanos - sinceNanos);
+            for (RecordedCall entry : recordedCalls) {
+                if (entry.receivedNanos >= sinceNanos && entry.sinceRevision == heldRevision) {
+                    return TimeUnit.NANOSECONDS.toMillis(entry.receivedNanos - sinceNanos);
                 }
             }
             long left = TimeUnit.NANOSECONDS.toMillis(end - System.nanoTime());
             if (left <= 0) {
-                throw new AssertionError("it never held revision " + heldRevision + ": " + ledger);
+                throw new AssertionError("it never held revision " + heldRevision + ": " + recordedCalls);
             }
             wait(left);
         }
@@ -197,61 +197,61 @@
 
     /** Waits until so many calls have come in a mode. */
     synchronized void awaitCalls(Mode in, long count) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(2 * Peer.PATIENCE_S);
-        while (calls(in) < count) {
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(2 * FakeServer.TIMEOUT_SECONDS);
+        while (callCount(in) < count) {
             long left = TimeUnit.NANOSECONDS.toMillis(end - System.nanoTime());
             if (left <= 0) {
-                throw new AssertionError("not " + count + " calls in " + in + ": " + ledger);
+                throw new AssertionError("not " + count + " calls in " + in + ": " + recordedCalls);
             }
             wait(left);
         }
     }
 
-    synchronized List<Entry> ledger() {
-        return List.copyOf(ledger);
+    synchronized List<RecordedCall> recordedCalls() {
+        return List.copyOf(recordedCalls);
     }
 
     private void serve(Socket socket) throws IOException, InterruptedException {
         InputStream in = socket.getInputStream();
-        for (String head = Client.head(in); head != null; head = Client.head(in)) {
-            Matcher call = CALL.matcher(head);
+        for (String head = Client.readHead(in); head != null; head = Client.readHead(in)) {
+            Matcher call = WATCH_REQUEST.matcher(head);
             if (!call.find()) {
                 throw new IOException("no watch: " + head);
             }
-            Mode how = enter(Long.parseLong(call.group(1)), Long.parseLong(call.group(2)));
-            answer(socket, how, Long.parseLong(call.group(1)), Long.parseLong(call.group(2)));
+            Mode how = recordCall(Long.parseLong(call.group(1)), Long.parseLong(call.group(2)));
+            respond(socket, how, Long.parseLong(call.group(1)), Long.parseLong(call.group(2)));
         }
     }
 
-    private synchronized Mode enter(long since, long waitMillis) {
-        ledger.add(new Entry(System.nanoTime(), mode, since, waitMillis));
+    private synchronized Mode recordCall(long since, long waitMillis) {
+        recordedCalls.add(new RecordedCall(System.nanoTime(), mode, since, waitMillis));
         notifyAll();
         return mode;
     }
 
-    private void answer(Socket socket, Mode how, long since, long waitMillis) throws IOException, InterruptedException {
+    private void respond(Socket socket, Mode how, long since, long waitMillis) throws IOException, InterruptedException {
         switch (how) {
-            case WELL -> write(socket, isRefused() ? response("503 Busy", "") : awaitList(since, waitMillis));
-            case BUSY -> write(socket, response("503 Busy", ""));
-            case MALFORMED -> write(socket, response("200 OK", "{\"revision\":"));
-            case OLDER -> write(socket, response("200 OK", list(0, false, "")));
+            case NORMAL -> write(socket, consumeRefusal() ? responseText("503 Busy", "") : awaitListResponse(since, waitMillis));
+            case BUSY -> write(socket, responseText("503 Busy", ""));
+            case MALFORMED -> write(socket, responseText("200 OK", "{\"revision\":"));
+            case OLDER_REVISION -> write(socket, responseText("200 OK", listJson(0, false, "")));
             case RESET -> {
                 socket.setSoLinger(true, 0);
                 socket.close();
             }
-            case HALF -> write(socket, response("200 OK", list(since, false, "")).substring(0, 60));
-            case TRICKLE -> trickle(socket, response("200 OK", list(since, false, "") + " ".repeat(1000)));
+            case PARTIAL -> write(socket, responseText("200 OK", listJson(since, false, "")).substring(0, 60));
+            case TRICKLE -> trickle(socket, responseText("200 OK", listJson(since, false, "") + " ".repeat(1000)));
             default -> { }
         }
     }
 
-    private synchronized boolean isRefused() throws InterruptedException {
-        if (refusals == 0) {
+    private synchronized boolean consumeRefusal() throws InterruptedException {
+        if (remainingRefusals == 0) {
             return false;
         }
-        refusals--;
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(refusalMillis);
-        for (long left = refusalMillis; left > 0; left = TimeUnit.NANOSECONDS.toMillis(end - System.nanoTime())) {
+        remainingRefusals--;
+        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(refusalDelayMillis);
+        for (long left = refusalDelayMillis; left > 0; left = TimeUnit.NANOSECONDS.toMillis(end - System.nanoTime())) {
             wait(left);
         }
         return true;
@@ -260,7 +260,7 @@
     private static void trickle(Socket socket, String text) throws IOException, InterruptedException {
         for (int i = 0; i < text.length(); i++) {
             write(socket, text.substring(i, i + 1));
-            TimeUnit.MILLISECONDS.sleep(BYTE_MILLIS);
+            TimeUnit.MILLISECONDS.sleep(BYTE_INTERVAL_MILLIS);
         }
     }
 
@@ -271,34 +271,34 @@
     }
 
     /** What a watch is answered; null where it fails meanwhile: it stays with no answer. */
-    private synchronized String awaitList(long since, long waitMillis) throws InterruptedException {
+    private synchronized String awaitListResponse(long since, long waitMillis) throws InterruptedException {
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(waitMillis);
-        int before = failures;
-        for (long left = waitMillis; failures == before && revision <= since && left > 0;
+        int before = failureCount;
+        for (long left = waitMillis; failureCount == before && revision <= since && left > 0;
                 left = TimeUnit.NANOSECONDS.toMillis(end - System.nanoTime())) {
             wait(left);
         }
-        if (failures != before) {
+        if (failureCount != before) {
             return null;
         }
         boolean news = revision > since;
-        return response("200 OK", list(revision, news && complete, news ? members : ""));
+        return responseText("200 OK", listJson(revision, news && complete, news ? members : ""));
     }
 
-    private static String list(long revision, boolean complete, String members) {
+    private static String listJson(long revision, boolean complete, String members) {
         return "{\"revision\":" + revision + ",\"complete\":" + complete + ",\"members\":[" + members + "]}";
     }
 
-    private static String response(String status, String content) {
+    private static String responseText(String status, String content) {
         return "HTTP/1.1 " + status + "\r\nContent-Length: " + content.length() + "\r\n\r\n" + content;
     }
 
     @Override public synchronized void close() throws IOException {
         server.close();
-        for (Socket socket : open) {
+        for (Socket socket : openSockets) {
             socket.close();
         }
-        for (Socket filler : fillers) {
+        for (Socket filler : backlogFillers) {
             filler.close();
         }
     }
--- a/src/test/java/badgermux/it/Peer.java
+++ b/src/test/java/badgermux/it/FakeServer.java
@@ -14,22 +14,22 @@
 import java.util.concurrent.TimeUnit;
 
 /** A server that the test plays: requests queue up until the test takes and answers them. */
-final class Peer implements Closeable {
-    static final int PATIENCE_S = 10;
+final class FakeServer implements Closeable {
+    static final int TIMEOUT_SECONDS = 10;
 
     /** A request, and the connection that it came on. */
-    static final class Call {
+    static final class Exchange {
         final String head;
         final String body;
         /** Who got it. */
-        final Peer from;
+        final FakeServer receiver;
         private final Socket socket;
         private final CountDownLatch ended;
 
-        Call(String head, String body, Peer from, Socket socket, CountDownLatch ended) {
+        Exchange(String head, String body, FakeServer from, Socket socket, CountDownLatch ended) {
             this.head = head;
             this.body = body;
-            this.from = from;
+            this.receiver = from;
             this.socket = socket;
             this.ended = ended;
         }
@@ -38,7 +38,7 @@
             return Client.header(head, name);
         }
 
-        Call send(String text) throws IOException {
+        Exchange send(String text) throws IOException {
             socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
             return this;
         }
@@ -49,22 +49,22 @@
         }
 
         /** Begins an answer in chunks, with its first line. */
-        Call accept() throws IOException {
-            return send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").line("started", "");
+        Exchange sendStarted() throws IOException {
+            return send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").sendLine("started", "");
         }
 
-        Call line(String state, String more) throws IOException {
+        Exchange sendLine(String state, String more) throws IOException {
             String line = "{\"id\":\"" + header("X-Request-ID") + "\",\"from\":\"s\",\"state\":\"" + state + "\"" + more
                 + "}\n";
             return send(Integer.toHexString(line.getBytes(StandardCharsets.UTF_8).length) + "\r\n" + line + "\r\n");
         }
 
-        void end() throws IOException {
+        void endResponse() throws IOException {
             send("0\r\n\r\n");
         }
 
-        void done(String result) throws IOException {
-            accept().line("done", ",\"result\":\"" + result + "\"").end();
+        void sendResult(String result) throws IOException {
+            sendStarted().sendLine("done", ",\"result\":\"" + result + "\"").endResponse();
         }
 
         void reset() throws IOException {
@@ -73,34 +73,34 @@
         }
 
         /** Whether the other side ends the connection. */
-        boolean isEnded() throws InterruptedException {
-            return ended.await(PATIENCE_S, TimeUnit.SECONDS);
+        boolean isClosedByClient() throws InterruptedException {
+            return ended.await(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         }
     }
 
     private final ServerSocket server;
-    private final BlockingQueue<Call> calls = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Exchange> exchanges = new LinkedBlockingQueue<>();
 
-    Peer() throws IOException {
+    FakeServer() throws IOException {
         this(0);
     }
 
     /** On a port of the test's choice; 0 for any. */
-    Peer(int port) throws IOException {
+    FakeServer(int port) throws IOException {
         server = new ServerSocket(port, 50, InetAddress.getLoopbackAddress());
-        thread(() -> {
+        startDaemon(() -> {
             while (true) {
                 Socket socket = server.accept();
-                thread(() -> serve(socket));
+                startDaemon(() -> serve(socket));
             }
         });
     }
 
-    private interface Work {
+    private interface IoTask {
         void run() throws IOException;
     }
 
-    private static void thread(Work work) {
+    private static void startDaemon(IoTask work) {
         Thread thread = new Thread(() -> {
             try {
                 work.run();
@@ -116,10 +116,10 @@
         CountDownLatch ended = new CountDownLatch(1);
         try {
             InputStream in = socket.getInputStream();
-            for (String head = Client.head(in); head != null; head = Client.head(in)) {
+            for (String head = Client.readHead(in); head != null; head = Client.readHead(in)) {
                 String length = Client.header(head, "Content-Length");
                 byte[] body = in.readNBytes(length == null ? 0 : Integer.parseInt(length));
-                calls.add(new Call(head, new String(body, StandardCharsets.UTF_8), this, socket, ended));
+                exchanges.add(new Exchange(head, new String(body, StandardCharsets.UTF_8), this, socket, ended));
             }
         } finally {
             ended.countDown();
@@ -135,8 +135,8 @@
     }
 
     /** The next request. */
-    Call take() throws InterruptedException {
-        Call call = calls.poll(PATIENCE_S, TimeUnit.SECONDS);
+    Exchange take() throws InterruptedException {
+        Exchange call = exchanges.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         if (call == null) {
             throw new AssertionError("no request came");
         }
@@ -147,7 +147,7 @@
     void answerAll(String result) throws IOException {
         try {
             while (true) {
-                take().done(result);
+                take().sendResult(result);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -155,13 +155,13 @@
     }
 
     /** How many requests have come that no test has taken. */
-    int waiting() {
-        return calls.size();
+    int queuedCount() {
+        return exchanges.size();
     }
 
     /** A request that is there already, or null. */
-    Call peek() {
-        return calls.poll();
+    Exchange poll() {
+        return exchanges.poll();
     }
 
     @Override public void close() throws IOException {
@@ -169,7 +169,7 @@
     }
 
     /** Gathers bytes up to an empty line; null at the end of input. */
-    static byte[] untilEmptyLine(InputStream in) throws IOException {
+    static byte[] readHeadBytes(InputStream in) throws IOException {
         ByteArrayOutputStream head = new ByteArrayOutputStream();
         for (int b = in.read(); b >= 0; b = in.read()) {
             head.write(b);
--- a/src/test/java/badgermux/it/Parts.java
+++ b/src/test/java/badgermux/it/InProcessDispatcher.java
@@ -25,62 +25,62 @@
  * The parts around the module in this process, on real sockets and an event loop that a test can hold: what peers do
  * meanwhile lies in the system's buffers, so that each order of events can be had every time.
  */
-final class Parts implements Closeable {
+final class InProcessDispatcher implements Closeable {
     /** What is done on the event loop, while it does nothing else. */
-    interface Held {
+    interface EventLoopTask {
         void run() throws Exception;
     }
 
     /** How many clients are served at once. */
-    static final int MOST_CLIENTS = 20;
+    static final int MAX_CLIENTS = 20;
 
-    final MultiThreadIoEventLoopGroup loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    final MultiThreadIoEventLoopGroup eventLoop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     final Clock clock = new Clock();
     final Metrics metrics = new Metrics(List.of("preview"));
-    final Deadlines deadlines = new Deadlines(this::now, this::alarm, metrics);
-    final Engine<ForwardedRequest> engine = new Engine<>(this::now, deadlines, metrics, 3);
-    final HttpBackendClient backends;
-    final Frontend front;
+    final Deadlines deadlines = new Deadlines(this::nowMicros, this::scheduleDeadlines, metrics);
+    final Engine<ForwardedRequest> engine = new Engine<>(this::nowMicros, deadlines, metrics, 3);
+    final HttpBackendClient backendClient;
+    final Frontend frontend;
     /** What the module was told, in order. */
-    final List<String> told = new ArrayList<>();
-    private final BlockingQueue<Long> jobs = new LinkedBlockingQueue<>();
+    final List<String> policyEvents = new ArrayList<>();
+    private final BlockingQueue<Long> requestIds = new LinkedBlockingQueue<>();
     private final int port;
-    private long stoppedAt;
-    private DispatchPolicy.Request last;
+    private long stoppedAtMicros;
+    private DispatchPolicy.Request lastRequest;
     /** Where the module sends each job at once; 0 where it holds them. */
-    long sendsTo;
+    long sendToBackendId;
     /** Where it sends a job again that may go again; null where it does not. Called as soon as it is told. */
-    Supplier<Long> again;
+    Supplier<Long> retryBackendId;
     /** When it was told that a job is to end with this process. */
-    final List<Long> endings = new ArrayList<>();
+    final List<Long> exitAnswerTimesMicros = new ArrayList<>();
     /** Whether it refuses such a job; else the engine has to fail it. */
-    boolean refusesAtTheEnd = true;
+    boolean refusesBeforeExit = true;
     /** Called on the event loop behind each job that the module is told of. */
-    Runnable onJob = () -> { };
+    Runnable onRequestReceived = () -> { };
 
-    Parts() throws Exception {
+    InProcessDispatcher() throws Exception {
         DispatchPolicy.Settings settings = new DispatchPolicy.Settings();
         settings.classes.add(new DispatchPolicy.RequestClass("preview", DispatchPolicy.Effect.REPEATABLE, DispatchPolicy.DedupScope.ALL, 4_000_000, 1,
             5_000_000, 0, 1, 0, -1, false));
-        backends = new HttpBackendClient(loop, deadlines, this::now, metrics, engine, 3_000_000, 15_000_000, 100, false);
-        front = new Frontend(this::now, deadlines, metrics, engine, settings, () -> true, MOST_CLIENTS, 8, 1 << 24, null);
-        engine.connect(new Module(), backends, () -> told.add("watch"));
-        port = ((InetSocketAddress) front.listen(loop, new InetSocketAddress("127.0.0.1", 0)).sync().channel().localAddress())
+        backendClient = new HttpBackendClient(eventLoop, deadlines, this::nowMicros, metrics, engine, 3_000_000, 15_000_000, 100, false);
+        frontend = new Frontend(this::nowMicros, deadlines, metrics, engine, settings, () -> true, MAX_CLIENTS, 8, 1 << 24, null);
+        engine.connect(new ScriptedPolicy(), backendClient, () -> policyEvents.add("watch"));
+        port = ((InetSocketAddress) frontend.listen(eventLoop, new InetSocketAddress("127.0.0.1", 0)).sync().channel().localAddress())
             .getPort();
     }
 
-    private void alarm(long at) {
-        loop.schedule(deadlines::runDue, Math.max(0, at - now()), TimeUnit.MICROSECONDS);
+    private void scheduleDeadlines(long at) {
+        eventLoop.schedule(deadlines::runDue, Math.max(0, at - nowMicros()), TimeUnit.MICROSECONDS);
     }
 
     /** The time of all parts, in microseconds. */
-    long now() {
-        return stoppedAt > 0 ? stoppedAt : clock.nowMicros();
+    long nowMicros() {
+        return stoppedAtMicros > 0 ? stoppedAtMicros : clock.nowMicros();
     }
 
     /** Stops the clock, so that nothing falls due, or has it go on; called on the event loop. */
-    void stopClock(boolean stops) {
-        stoppedAt = stops ? clock.nowMicros() : 0;
+    void setClockStopped(boolean stops) {
+        stoppedAtMicros = stops ? clock.nowMicros() : 0;
     }
 
     Client client() throws IOException {
@@ -88,8 +88,8 @@
     }
 
     /** The next job that the module was told of. */
-    long job() throws InterruptedException {
-        Long job = jobs.poll(Peer.PATIENCE_S, TimeUnit.SECONDS);
+    long awaitRequest() throws InterruptedException {
+        Long job = requestIds.poll(FakeServer.TIMEOUT_SECONDS, TimeUnit.SECONDS);
         if (job == null) {
             throw new AssertionError("no job came");
         }
@@ -97,17 +97,17 @@
     }
 
     /** What the client of the last job had left when the module was told of it, in microseconds; called on the event loop. */
-    long left() {
-        return last.remainingMicros();
+    long lastRemainingMicros() {
+        return lastRequest.remainingMicros();
     }
 
     /** Whether one is there already that nobody has taken. */
-    boolean hasJob() {
-        return !jobs.isEmpty();
+    boolean hasRequest() {
+        return !requestIds.isEmpty();
     }
 
     /** Takes a job in that no client brought; called on the event loop. */
-    long take() {
+    long submitWithoutClient() {
         ResponseListener nobody = new ResponseListener() {
             @Override public void onServed(byte[] result) { }
 
@@ -116,63 +116,63 @@
             @Override public void onFailed(boolean late) { }
         };
         String head = "POST /preview HTTP/1.1";
-        String id = Client.id();
+        String id = Client.nextRequestId();
         return engine.submit(nobody, new ForwardedRequest(id, head, "X-Request-ID: " + id + "\r\n", new byte[0], null), 0, 0, 1,
             clock.nowMicros() + 5_000_000, true);
     }
 
     /** How many connections to runners there are. */
-    long open() throws Exception {
-        return level("backend_connections_open");
+    long backendConnections() throws Exception {
+        return readGauge("backend_connections_open");
     }
 
     /** The same, told on the event loop. */
-    long openNow() {
-        return figure("backend_connections_open");
+    long backendConnectionsOnEventLoop() {
+        return gaugeValue("backend_connections_open");
     }
 
     /** A count, by now. */
-    long count(Metrics.Count of) throws Exception {
+    long counterValue(Metrics.Count of) throws Exception {
         long[] count = new long[1];
-        held(() -> count[0] = metrics.get(of));
+        runOnEventLoop(() -> count[0] = metrics.get(of));
         return count[0];
     }
 
     /** How many connections of clients there are. */
-    long connections() throws Exception {
-        return level("client_connections_open");
+    long clientConnections() throws Exception {
+        return readGauge("client_connections_open");
     }
 
-    private long level(String name) throws Exception {
+    private long readGauge(String name) throws Exception {
         long[] level = new long[1];
-        held(() -> level[0] = figure(name));
+        runOnEventLoop(() -> level[0] = gaugeValue(name));
         return level[0];
     }
 
-    private long figure(String name) {
+    private long gaugeValue(String name) {
         return metrics.text().lines().filter(line -> line.startsWith("badgermux_" + name + ' '))
             .mapToLong(line -> Long.parseLong(line.substring(line.indexOf(' ') + 1))).findFirst().orElseThrow();
     }
 
-    boolean toldOf(String what) throws Exception {
+    boolean hasPolicyEvent(String what) throws Exception {
         boolean[] is = new boolean[1];
-        held(() -> is[0] = told.contains(what));
+        runOnEventLoop(() -> is[0] = policyEvents.contains(what));
         return is[0];
     }
 
     /** Does it on the event loop, and waits until it is done. */
-    void held(Held what) throws Exception {
-        loop.submit(() -> {
+    void runOnEventLoop(EventLoopTask what) throws Exception {
+        eventLoop.submit(() -> {
             what.run();
             return null;
         }).get();
     }
 
     /** Does it so many tasks later, in the same round of the event loop; called on it. */
-    void afterTasks(int count, Held what) {
-        loop.next().execute(() -> {
+    void runAfterTasks(int count, EventLoopTask what) {
+        eventLoop.next().execute(() -> {
             if (count > 1) {
-                afterTasks(count - 1, what);
+                runAfterTasks(count - 1, what);
                 return;
             }
             try {
@@ -184,11 +184,11 @@
     }
 
     @Override public void close() {
-        loop.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+        eventLoop.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
     /** Does what the test says. */
-    private final class Module implements DispatchPolicy {
+    private final class ScriptedPolicy implements DispatchPolicy {
         @Override public LearnedState exportLearnedState() {
             return new LearnedState(new double[0], List.of());
         }
@@ -196,9 +196,9 @@
         @Override public void importLearnedState(LearnedState left) { }
 
         @Override public void answerBeforeExit(long time, long job) {
-            told.add("ending");
-            endings.add(now());
-            if (refusesAtTheEnd) {
+            policyEvents.add("ending");
+            exitAnswerTimesMicros.add(nowMicros());
+            if (refusesBeforeExit) {
                 engine.refuse(job, 0);
             }
         }
@@ -208,16 +208,16 @@
         }
 
         @Override public void backendsListed(long time, ListUpdate update, List<Backend> workers) {
-            told.add(update + " " + workers.size());
+            policyEvents.add(update + " " + workers.size());
         }
 
         @Override public void requestReceived(long time, Request job) {
-            last = job;
-            if (sendsTo != 0) {
-                engine.send(job.id(), sendsTo);
+            lastRequest = job;
+            if (sendToBackendId != 0) {
+                engine.send(job.id(), sendToBackendId);
             }
-            jobs.add(job.id());
-            onJob.run();
+            requestIds.add(job.id());
+            onRequestReceived.run();
         }
 
         @Override public void attemptStarted(long time, long id, int attempt) { }
@@ -228,18 +228,18 @@
 
         @Override public void attemptEnded(long time, long id, int attempt, long worker, Outcome outcome, boolean settled,
                 LoadReport report) {
-            told.add(outcome + (settled ? " settled" : ""));
+            policyEvents.add(outcome + (settled ? " settled" : ""));
             if (!settled && outcome == Outcome.MOOT) {
-                engine.send(last.id(), sendsTo);
-            } else if (!settled && outcome == Outcome.REJECTED && again != null) {
-                engine.send(id, again.get());
+                engine.send(lastRequest.id(), sendToBackendId);
+            } else if (!settled && outcome == Outcome.REJECTED && retryBackendId != null) {
+                engine.send(id, retryBackendId.get());
             }
         }
 
         @Override public void probeEnded(long time, long worker, boolean answered, LoadReport report) { }
 
         @Override public void clientDisconnected(long time, long id) {
-            told.add("gone");
+            policyEvents.add("gone");
         }
 
         @Override public void timerFired(long time, int token) { }
--- a/src/test/java/badgermux/it/BadClientsIT.java
+++ b/src/test/java/badgermux/it/MisbehavingClientsIT.java
@@ -19,16 +19,16 @@
 
 /** Clients that break the protocol get an error or a close soon, and nobody else suffers. */
 @Timeout(60)
-class BadClientsIT {
-    private static final String ID = "X-Request-ID: 00000000000000aa|";
+class MisbehavingClientsIT {
+    private static final String ID_HEADER = "X-Request-ID: 00000000000000aa|";
 
     @TempDir private Path folder;
-    private Peer backend;
+    private FakeServer backend;
     private Program program;
     private Client client;
 
     @BeforeEach void start() throws IOException {
-        backend = new Peer();
+        backend = new FakeServer();
         program = new Program(folder, member("s-1", backend, "east", "SERVING"));
         client = program.client();
     }
@@ -41,14 +41,14 @@
 
     private void assertOthersAreServed(Program by) throws IOException, InterruptedException {
         try (Client other = by.client().send(Client.request("/preview", "5000m", "", ""))) {
-            Peer.Call call = backend.take();
+            FakeServer.Exchange call = backend.take();
             assertTrue(call.head.startsWith("POST /preview HTTP/1.1"), "something else came first: " + call.head);
-            call.done("r");
+            call.sendResult("r");
             assertEquals(200, other.read().status());
         }
     }
 
-    private static final String[] REJECTED = {
+    private static final String[] REJECTED_REQUESTS = {
         "POST /preview HTTP/1.1|Content-Length: 0||~400", "nonsense||~400", "<>?|~400",
         "POST /preview HTTP/1.1|X-Request-ID: |Content-Length: 0||~400",
         "POST /preview HTTP/1.1|X-Request-ID: a b|Content-Length: 0||~400",
@@ -75,72 +75,72 @@
         "POST /preview HTTP/1.1#|@Content-Length: 0||~400",
         "POST /preview HTTP/1.1|@A : b||~400", "POST /preview HTTP/1.1|@A: b| folded: c||~400"};
 
-    @Test void whatBreaksTheProtocolIsRejectedAndReachesNoBackend() throws IOException, InterruptedException {
-        for (String row : REJECTED) {
-            String text = row.substring(0, row.length() - 4).replace("HTTP/1.1|", "HTTP/1.1|Host: h|").replace("#", "").replace("@", ID).replace("|", "\r\n").replace('%', '\n')
+    @Test void rejectsInvalidRequestsBeforeAnyBackend() throws IOException, InterruptedException {
+        for (String row : REJECTED_REQUESTS) {
+            String text = row.substring(0, row.length() - 4).replace("HTTP/1.1|", "HTTP/1.1|Host: h|").replace("#", "").replace("@", ID_HEADER).replace("|", "\r\n").replace('%', '\n')
                 .replace('^', '\0');
             try (Client bad = program.client().send(text)) {
                 assertEquals(row.substring(row.length() - 3), String.valueOf(bad.read().status()), row);
-                assertTrue(bad.isEnded(), row);
+                assertTrue(bad.isClosedByServer(), row);
             }
-            assertNull(backend.peek(), row);
+            assertNull(backend.poll(), row);
         }
         assertOthersAreServed(program);
-        assertEquals(REJECTED.length, program.count("bad_messages"));
+        assertEquals(REJECTED_REQUESTS.length, program.counterValue("bad_messages"));
     }
 
     @ParameterizedTest @ValueSource(strings = {"POST /preview HTTP/1.1\r\nA: ",
         "POST /preview HTTP/1.1\r\nX-Request-ID: 00000000000000aa\r\nContent-Length: 70000000\r\n\r\n"})
-    void anErrorIsReadEvenIfMoreIsSentBehindIt(String head) throws IOException, InterruptedException {
+    void errorIsReadableWhenClientKeepsSending(String head) throws IOException, InterruptedException {
         client.send(head + "x".repeat(600_000));
         assertTrue(client.read().status() >= 400);
-        assertTrue(client.isEnded(), "closed in order, not reset");
+        assertTrue(client.isClosedByServer(), "closed in order, not reset");
         assertOthersAreServed(program);
     }
 
-    @Test void silentAndHalfSentRequestsEndInTime() throws IOException, InterruptedException {
+    @Test void closesSilentAndHalfSentConnectionsInTime() throws IOException, InterruptedException {
         long before = System.nanoTime();
         Client half = program.client().send("POST /preview HTTP/1.1\r\nX-Requ");
         Client cut = program.client().send(Client.request("/preview", "60000m", "", "abc").replace("abc", ""));
         Client strange = program.client();
         assertEquals(200, strange.get("/healthz").status());
-        assertTrue(client.isEnded(), "one that says nothing");
-        assertTrue(strange.isEnded(), "one that asks no more");
+        assertTrue(client.isClosedByServer(), "one that says nothing");
+        assertTrue(strange.isClosedByServer(), "one that asks no more");
         assertEquals(408, half.read().status());
         assertEquals(408, cut.read().status());
-        assertTrue(half.isEnded() && cut.isEnded());
+        assertTrue(half.isClosedByServer() && cut.isClosedByServer());
         assertTrue(System.nanoTime() - before < 3_000_000_000L, "too late");
-        assertNull(backend.peek());
+        assertNull(backend.poll());
         assertOthersAreServed(program);
     }
 
-    @Test void anIdInUseIsTurnedAwayAndFreeAgainAfterItsAnswer() throws IOException, InterruptedException {
+    @Test void rejectsIdInUseAndFreesItAfterAnswer() throws IOException, InterruptedException {
         String request = Client.request("/preview", "5000m", "", "");
         client.send(request);
-        Peer.Call call = backend.take();
+        FakeServer.Exchange call = backend.take();
         try (Client thief = program.client().send(request)) {
             assertEquals(409, thief.read().status());
-            assertTrue(thief.isEnded());
+            assertTrue(thief.isClosedByServer());
         }
-        call.done("mine");
+        call.sendResult("mine");
         assertEquals("mine", client.read().body());
         client.send(request);
-        backend.take().done("again");
+        backend.take().sendResult("again");
         assertEquals("again", client.read().body());
-        assertEquals(1, program.count("ids_in_use"));
+        assertEquals(1, program.counterValue("ids_in_use"));
     }
 
     @ParameterizedTest @ValueSource(strings = {"rubbish", "GET /\0", "POST /preview HTTP/1.1\r\nContent-Length: x\r\n\r\n"})
-    void rubbishBehindAnOpenRequestIsRejectedBeforeItsAnswer(String behind) throws IOException, InterruptedException {
+    void rejectsGarbageBehindOpenRequestAtOnce(String behind) throws IOException, InterruptedException {
         client.send(Client.request("/preview", "60000m", "", ""));
-        Peer.Call call = backend.take().accept();
+        FakeServer.Exchange call = backend.take().sendStarted();
         assertEquals(400, client.send(behind).read().status());
-        assertTrue(client.isEnded());
-        assertTrue(call.isEnded(), "its fetch is given up");
+        assertTrue(client.isClosedByServer());
+        assertTrue(call.isClosedByClient(), "its fetch is given up");
         assertOthersAreServed(program);
     }
 
-    @Test void oneWhoWouldWaitForEverMakesNobodyElseLate() throws IOException, InterruptedException {
+    @Test void boundsClientTimeoutByClassTimeout() throws IOException, InterruptedException {
         client.send(Client.request("/preview", "3600000m", "", ""));
         int told = Integer.parseInt(backend.take().header("X-Timeout").replace("m", ""));
         assertTrue(told <= 5000, "its class gives up sooner than " + told);
@@ -148,7 +148,7 @@
         assertOthersAreServed(program);
     }
 
-    @Test void silentConnectionsMakeRoomForOthers() throws IOException, InterruptedException {
+    @Test void evictsSilentConnectionsForNewClients() throws IOException, InterruptedException {
         int all = 46 + 16;  // what 128 descriptors leave for clients, and some over
         try (Program small = new Program(folder, member("s-1", backend, "east", "SERVING"), 128, Program.SETTINGS)) {
             List<Client> silent = new ArrayList<>();
@@ -159,7 +159,7 @@
             assertOthersAreServed(small);
             assertTrue(System.nanoTime() - before < 1_500_000_000L, "not before the silent ones run out of time");
             for (Client quiet : silent) {
-                assertTrue(quiet.isEnded());
+                assertTrue(quiet.isClosedByServer());
             }
         }
     }
--- a/src/test/java/badgermux/it/Program.java
+++ b/src/test/java/badgermux/it/Program.java
@@ -17,8 +17,8 @@
 
 /** The real program as a process, started as it is in service, and discovery that tells it of backends. */
 final class Program implements Closeable {
-    private static final Pattern RUN = Pattern.compile("^run = \"(.*)\"$", Pattern.MULTILINE);
-    private static final Pattern PORT = Pattern.compile("listens on .*:(\\d+)$");
+    private static final Pattern RUN_COMMAND = Pattern.compile("^run = \"(.*)\"$", Pattern.MULTILINE);
+    private static final Pattern LISTEN_PORT = Pattern.compile("listens on .*:(\\d+)$");
     static final String SETTINGS = "{\"Zone\":0,\"FailureDomains\":[\"east\",\"west\"],\"Kinds\":[\"k\"],"
         + "\"Discovery\":\"on_request\",\"Report\":{\"How\":\"silent\",\"Columns\":[]},\"Customers\":[],"
         + "\"Ceilings\":{\"MaxAttempts\":3,\"Cancel\":true,\"RetryAfter\":true,\"MaxRetryAfterMs\":2000,"
@@ -28,15 +28,15 @@
         + "{\"Name\":\"publish\",\"Effect\":\"by_key\",\"Group\":\"zone\",\"DedupWindowMs\":40000,"
         + "\"TargetMs\":4000,\"GiveUpMs\":5000}]}";
 
-    final Peer discovery = new Peer();
+    final FakeServer discovery = new FakeServer();
     final Process process;
-    private final BufferedReader log;
-    private final Path config;
+    private final BufferedReader readLogLine;
+    private final Path writeConfig;
     /** What it logged before it listened. */
-    private final List<String> first = new ArrayList<>();
+    private final List<String> logLines = new ArrayList<>();
     private int port;
     private int adminPort;
-    private int callPort;
+    private int consolePort;
 
     /** Starts it in a folder; {@code members} are the backends that it knows from before. */
     Program(Path folder, String members) throws IOException {
@@ -44,41 +44,41 @@
     }
 
     Program(Path folder, String members, int sockets, String settings) throws IOException {
-        this(config(folder, members, sockets, 96, settings));
+        this(writeConfig(folder, members, sockets, 96, settings));
         awaitPort();
     }
 
     /** Starts it with an address for operators' calls; {@code folder} is its $TMPDIR, too, which may have been used before. */
-    static Program onCall(Path folder, String members, int sockets, String settings) throws IOException {
-        return onCall(command(), folder, members, sockets, settings);
+    static Program startWithConsole(Path folder, String members, int sockets, String settings) throws IOException {
+        return startWithConsole(runCommand(), folder, members, sockets, settings);
     }
 
-    static Program onCall(String command, Path folder, String members, int sockets, String settings) throws IOException {
-        Program program = new Program(command, config(folder, members, sockets, 192, settings),
+    static Program startWithConsole(String command, Path folder, String members, int sockets, String settings) throws IOException {
+        Program program = new Program(command, writeConfig(folder, members, sockets, 192, settings),
             Map.of("GW_ADMIN", "127.0.0.1:0", "TMPDIR", folder.toString()));
         program.awaitPort();
         return program;
     }
 
     /** Starts it with operators' calls and a discovery service of the test's own; {@code command} is that of the shell. */
-    static Program watching(String discovery, String command, Path folder, String members, int sockets, String settings)
+    static Program startWithDiscovery(String discovery, String command, Path folder, String members, int sockets, String settings)
             throws IOException {
-        Program program = new Program(command, config(folder, members, sockets, 192, settings),
+        Program program = new Program(command, writeConfig(folder, members, sockets, 192, settings),
             Map.of("GW_ADMIN", "127.0.0.1:0", "TMPDIR", folder.toString(), "GW_DISCOVERY", discovery));
         program.awaitPort();
         return program;
     }
 
     /** Starts it with a folder as its $TMPDIR, which may have been used before. */
-    static Program in(Path folder, String members, String settings) throws IOException {
-        Program program = new Program(command(), config(folder, members, 1024, 192, settings),
+    static Program startInFolder(Path folder, String members, String settings) throws IOException {
+        Program program = new Program(runCommand(), writeConfig(folder, members, 1024, 192, settings),
             Map.of("TMPDIR", folder.toString()));
         program.awaitPort();
         return program;
     }
 
-    static Program onCall(Path folder, String members, int sockets) throws IOException {
-        return onCall(folder, members, sockets, SETTINGS);
+    static Program startWithConsole(Path folder, String members, int sockets) throws IOException {
+        return startWithConsole(folder, members, sockets, SETTINGS);
     }
 
     /**
@@ -87,8 +87,8 @@
      * @param discovery where it finds discovery, {@code host:port}; its own {@link #discovery} gets no calls
      * @param tmp       its $TMPDIR, which may have been used before
      */
-    static Program restarted(Path config, int port, String discovery, Path tmp) throws IOException {
-        Program program = new Program(command(), config, Map.of("GW_LISTEN", "127.0.0.1:" + port,
+    static Program startOnPort(Path config, int port, String discovery, Path tmp) throws IOException {
+        Program program = new Program(runCommand(), config, Map.of("GW_LISTEN", "127.0.0.1:" + port,
             "GW_DISCOVERY", discovery, "TMPDIR", tmp.toString()));
         program.port = port;
         return program;
@@ -106,23 +106,23 @@
 
     /** Starts it with an admin API, whose options follow {@code serve}. */
     Program(Path folder, String members, String options) throws IOException {
-        this(command() + " --admin 127.0.0.1:0 " + options, config(folder, members, 1024, 192, SETTINGS));
+        this(runCommand() + " --admin 127.0.0.1:0 " + options, writeConfig(folder, members, 1024, 192, SETTINGS));
         awaitPort();
     }
 
     /** A configuration in a folder; {@code members} are the backends that it knows from before. */
-    static Path config(Path folder, String members, int sockets, int memoryMb, String settings) throws IOException {
+    static Path writeConfig(Path folder, String members, int sockets, int memoryMb, String settings) throws IOException {
         return Files.writeString(folder.resolve("config.json"), "{\"name\":\"n\",\"seed\":\"1f\",\"limits\":{\"sockets\":"
             + sockets + ",\"memory_mb\":" + memoryMb + "},\"known\":{\"revision\":1,\"complete\":true,\"members\":[" + members
             + "]},\"settings\":" + settings + "}");
     }
 
     private void awaitPort() throws IOException {
-        for (String line = log.readLine(); line != null; line = log.readLine()) {
-            first.add(line);
-            Matcher matcher = PORT.matcher(line);
+        for (String line = readLogLine.readLine(); line != null; line = readLogLine.readLine()) {
+            logLines.add(line);
+            Matcher matcher = LISTEN_PORT.matcher(line);
             if (line.contains("operators call on")) {
-                callPort = Integer.parseInt(line.substring(line.lastIndexOf(':') + 1));
+                consolePort = Integer.parseInt(line.substring(line.lastIndexOf(':') + 1));
             } else if (matcher.find() && line.contains("admin API")) {
                 adminPort = Integer.parseInt(matcher.group(1));
             } else if (matcher.find(0)) {
@@ -133,18 +133,18 @@
     }
 
     /** An operator's connection. */
-    Client admin() throws IOException {
+    Client adminClient() throws IOException {
         return new Client(adminPort);
     }
 
     /** Starts it on a configuration that may be faulty. */
     Program(Path config) throws IOException {
-        this(command(), config);
+        this(runCommand(), config);
     }
 
     /** The command that starts it in service. */
-    static String command() throws IOException {
-        Matcher run = RUN.matcher(Files.readString(Path.of("deploy", "balancer.toml")));
+    static String runCommand() throws IOException {
+        Matcher run = RUN_COMMAND.matcher(Files.readString(Path.of("deploy", "balancer.toml")));
         if (!run.find()) {
             throw new IOException("deploy/balancer.toml has no run");
         }
@@ -163,53 +163,53 @@
         // What one test's process has learnt is nothing to the next one's.
         builder.environment().remove("TMPDIR");
         builder.environment().putAll(more);
-        this.config = config;
+        this.writeConfig = config;
         process = builder.start();
-        log = process.errorReader(StandardCharsets.UTF_8);
+        readLogLine = process.errorReader(StandardCharsets.UTF_8);
     }
 
     /** Replaces text of the configuration and has it reread. */
     void reload(String old, String by) throws IOException, InterruptedException {
-        Files.writeString(config, Files.readString(config).replace(old, by));
-        hangUp();
+        Files.writeString(writeConfig, Files.readString(writeConfig).replace(old, by));
+        sendSighup();
     }
 
-    void hangUp() throws IOException, InterruptedException {
+    void sendSighup() throws IOException, InterruptedException {
         new ProcessBuilder("kill", "-HUP", String.valueOf(process.pid())).start().waitFor();
     }
 
     /** A backend as discovery's list shows it. */
-    static String member(String id, Peer at, String zone, String phase) {
+    static String member(String id, FakeServer at, String zone, String phase) {
         return "{\"id\":\"" + id + "\",\"host_port\":\"" + at.address() + "\",\"locality\":\"" + zone
             + "\",\"flavor\":\"k\",\"cell\":0,\"phase\":\"" + phase + "\",\"size\":1.0,\"up_since_ms\":0}";
     }
 
     /** An operator's connection that has said nothing yet. */
-    Socket caller() throws IOException {
-        Socket socket = new Socket("127.0.0.1", callPort);
-        socket.setSoTimeout(Peer.PATIENCE_S * 1000);
+    Socket consoleSocket() throws IOException {
+        Socket socket = new Socket("127.0.0.1", consolePort);
+        socket.setSoTimeout(FakeServer.TIMEOUT_SECONDS * 1000);
         return socket;
     }
 
-    String call(String line) throws IOException {
-        return call(callPort, line);
+    String callConsole(String line) throws IOException {
+        return callConsole(consolePort, line);
     }
 
-    long figure(String name) throws IOException {
-        return figure(call("DUMP"), name);
+    long dumpValue(String name) throws IOException {
+        return dumpValue(callConsole("DUMP"), name);
     }
 
     /** A call's answer, which ends with its connection. */
-    static String call(int port, String line) throws IOException {
+    static String callConsole(int port, String line) throws IOException {
         try (Socket socket = new Socket("127.0.0.1", port)) {
-            socket.setSoTimeout(Peer.PATIENCE_S * 1000);
+            socket.setSoTimeout(FakeServer.TIMEOUT_SECONDS * 1000);
             socket.getOutputStream().write((line + "\n").getBytes(StandardCharsets.ISO_8859_1));
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
         }
     }
 
     /** A figure of a dump. */
-    static long figure(String dump, String name) {
+    static long dumpValue(String dump, String name) {
         return dump.lines().filter(line -> line.startsWith("svc." + name + ':'))
             .mapToLong(line -> Long.parseLong(line.replaceAll(".*:|\\|.*", ""))).findFirst().orElseThrow();
     }
@@ -218,34 +218,34 @@
         return new Client(port);
     }
 
-    String log() throws IOException {
-        return log.readLine();
+    String readLogLine() throws IOException {
+        return readLogLine.readLine();
     }
 
     /** Reads on what it logs: a thousand lines are more than a pipe holds, and who writes to a full one waits. */
-    void readLog() {
-        Thread reader = new Thread(() -> log.lines().forEach(line -> { }));
+    void discardLog() {
+        Thread reader = new Thread(() -> readLogLine.lines().forEach(line -> { }));
         reader.setDaemon(true);
         reader.start();
     }
 
     /** All that it logged, from its start to its end. */
-    List<String> logged() throws IOException {
-        for (String line = log.readLine(); line != null; line = log.readLine()) {
-            first.add(line);
+    List<String> awaitFullLog() throws IOException {
+        for (String line = readLogLine.readLine(); line != null; line = readLogLine.readLine()) {
+            logLines.add(line);
         }
-        return first;
+        return logLines;
     }
 
     /** Waits for its end and returns what it printed. */
-    String output() throws IOException, InterruptedException {
+    String awaitOutput() throws IOException, InterruptedException {
         String text = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        process.waitFor(Peer.PATIENCE_S, TimeUnit.SECONDS);
+        process.waitFor(FakeServer.TIMEOUT_SECONDS, TimeUnit.SECONDS);
         return text;
     }
 
     /** A counter's value. */
-    long count(String name) throws IOException {
+    long counterValue(String name) throws IOException {
         try (Client client = client(); BufferedReader lines = new BufferedReader(new InputStreamReader(
             new java.io.ByteArrayInputStream(client.get("/metrics").body().getBytes(StandardCharsets.UTF_8)),
             StandardCharsets.UTF_8))) {
--- a/src/test/java/badgermux/it/ReloadIT.java
+++ b/src/test/java/badgermux/it/ReloadIT.java
@@ -16,14 +16,14 @@
 @Timeout(60)
 class ReloadIT {
     @TempDir private Path folder;
-    private Peer backend;
-    private Peer next;
+    private FakeServer backend;
+    private FakeServer newDiscovery;
     private Program program;
     private Client client;
 
     @BeforeEach void start() throws IOException {
-        backend = new Peer();
-        next = new Peer();
+        backend = new FakeServer();
+        newDiscovery = new FakeServer();
         program = new Program(folder, member("s-1", backend, "east", "SERVING"));
         client = program.client();
     }
@@ -31,46 +31,46 @@
     @AfterEach void stop() throws IOException {
         client.close();
         program.close();
-        next.close();
+        newDiscovery.close();
         backend.close();
     }
 
     private void moveDiscovery() throws IOException, InterruptedException {
-        program.reload("{\"name\":\"n\"", "{\"discovery\":\"" + next.address() + "\",\"name\":\"n\"");
+        program.reload("{\"name\":\"n\"", "{\"discovery\":\"" + newDiscovery.address() + "\",\"name\":\"n\"");
     }
 
     private void awaitLog(String text) throws IOException {
-        String line = program.log();
+        String line = program.readLogLine();
         while (line != null && !line.contains(text)) {
-            line = program.log();
+            line = program.readLogLine();
         }
         assertTrue(line != null, "the log ends without " + text);
     }
 
-    @Test void theNewAddressOfDiscoveryIsWatchedAtOnceAndNothingTakenIsLost() throws IOException, InterruptedException {
-        Peer.Call old = program.discovery.take();
+    @Test void watchesNewDiscoveryAddressAndKeepsRequests() throws IOException, InterruptedException {
+        FakeServer.Exchange old = program.discovery.take();
         client.send(Client.request("/preview", "5000m", "", ""));
-        Peer.Call inFlight = backend.take().accept();
+        FakeServer.Exchange inFlight = backend.take().sendStarted();
         moveDiscovery();
-        Peer.Call watch = next.take();
+        FakeServer.Exchange watch = newDiscovery.take();
         assertTrue(watch.head.startsWith("GET /v1/servers?since=1&timeout_ms="), watch.head);
-        assertEquals(next.address(), watch.header("Host"));
-        assertTrue(old.isEnded(), "the old call is dropped");
-        Peer other = new Peer();
+        assertEquals(newDiscovery.address(), watch.header("Host"));
+        assertTrue(old.isClosedByClient(), "the old call is dropped");
+        FakeServer other = new FakeServer();
         watch.reply("200 OK", "{\"revision\":2,\"complete\":false,\"members\":["
             + member("s-1", backend, "east", "DRAINING") + ',' + member("s-2", other, "east", "SERVING") + "]}");
-        assertTrue(next.take().head.startsWith("GET /v1/servers?since=2&"));
+        assertTrue(newDiscovery.take().head.startsWith("GET /v1/servers?since=2&"));
         try (Client second = program.client().send(Client.request("/preview", "5000m", "", ""))) {
-            other.take().done("new");
+            other.take().sendResult("new");
             assertEquals("new", second.read().body());
         }
-        inFlight.line("done", ",\"result\":\"old\"").end();
+        inFlight.sendLine("done", ",\"result\":\"old\"").endResponse();
         assertEquals("old", client.read().body());
-        assertEquals(0, program.count("director_failures"));
-        assertEquals(1, program.count("reloads"));
+        assertEquals(0, program.counterValue("director_failures"));
+        assertEquals(1, program.counterValue("reloads"));
     }
 
-    @Test void aBadFileChangesNothingAndItsKeyIsLogged() throws IOException, InterruptedException {
+    @Test void rejectsInvalidConfigurationAndLogsItsKey() throws IOException, InterruptedException {
         program.discovery.take();
         program.reload("\"once\"", "\"twice\"");
         awaitLog("Configuration reload rejected: settings: setting RequestClasses.1.Effect");
@@ -78,28 +78,28 @@
         awaitLog("Configuration reload rejected");
         program.reload("{", "");
         awaitLog("is not a JSON object");
-        assertEquals(3, program.count("reloads_rejected"));
-        assertEquals(1, program.count("director_calls"));
+        assertEquals(3, program.counterValue("reloads_rejected"));
+        assertEquals(1, program.counterValue("director_calls"));
     }
 
-    @Test void oneMayFollowAnotherAndSigtermStillAnswersAll() throws IOException, InterruptedException {
+    @Test void answersAllWhenReloadsRepeatAndSigtermFollows() throws IOException, InterruptedException {
         program.discovery.take();
         client.send(Client.request("/preview", "5000m", "", ""));
-        Peer.Call call = backend.take().accept();
+        FakeServer.Exchange call = backend.take().sendStarted();
         moveDiscovery();
-        Peer.Call watch = next.take();
-        program.hangUp();
+        FakeServer.Exchange watch = newDiscovery.take();
+        program.sendSighup();
         awaitLog("Configuration reloaded");
         awaitLog("Configuration reloaded");
-        assertEquals(1, program.count("director_calls") - 1, "the same address again drops nothing");
+        assertEquals(1, program.counterValue("director_calls") - 1, "the same address again drops nothing");
         program.process.toHandle().destroy();
-        program.hangUp();
+        program.sendSighup();
         awaitLog("Configuration reloaded");
         watch.reply("200 OK", "{\"revision\":2,\"complete\":false,\"members\":[]}");
-        next.take();
-        call.line("done", ",\"result\":\"r\"").end();
+        newDiscovery.take();
+        call.sendLine("done", ",\"result\":\"r\"").endResponse();
         assertEquals("r", client.read().body());
-        assertTrue(program.output().contains("badgermux_reloads 3\n"));
+        assertTrue(program.awaitOutput().contains("badgermux_reloads 3\n"));
         assertEquals(143, program.process.waitFor());
     }
 }
--- a/src/test/java/badgermux/it/RestartReadyIT.java
+++ b/src/test/java/badgermux/it/RestartReadinessIT.java
@@ -26,18 +26,18 @@
  * counted from the start of its command to a 200 from {@code GET /healthz}, and has to serve a request then.
  */
 @Timeout(90)
-class RestartReadyIT {
-    private static final long READY_WITHIN_MS = 6_000;
+class RestartReadinessIT {
+    private static final long MAX_READY_MILLIS = 6_000;
     /** More than the process lets in at once: a third of its 1,024 descriptors and 64 that it only turns away. */
-    private static final int CROWD = 500;
+    private static final int CLIENT_COUNT = 500;
 
     @TempDir private Path folder;
-    private Peer backend;
+    private FakeServer backend;
     private Program first;
 
     @BeforeEach void start() throws IOException {
-        backend = new Peer();
-        first = Program.in(folder, member("s-1", backend, "east", "SERVING"), Program.SETTINGS);
+        backend = new FakeServer();
+        first = Program.startInFolder(folder, member("s-1", backend, "east", "SERVING"), Program.SETTINGS);
     }
 
     @AfterEach void stop() throws IOException {
@@ -46,7 +46,7 @@
     }
 
     /** An address at which nobody listens. */
-    private static String nobody() throws IOException {
+    private static String unusedAddress() throws IOException {
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             return "127.0.0.1:" + socket.getLocalPort();
         }
@@ -55,7 +55,7 @@
     private void serveOne(Program program) throws IOException, InterruptedException {
         try (Client client = program.client()) {
             client.send(Client.request("/preview", "5000m", "", ""));
-            backend.take().done("r");
+            backend.take().sendResult("r");
             assertEquals(200, client.read().status());
         }
     }
@@ -69,16 +69,16 @@
     }
 
     /** Kills the first process, starts the next one, and judges when it is ready and that it serves. */
-    private Program restart(String members, String discovery) throws IOException, InterruptedException {
+    private Program restartAndAwaitReady(String members, String discovery) throws IOException, InterruptedException {
         first.kill();
-        Path config = Program.config(folder, members, 1024, 192, Program.SETTINGS);
+        Path config = Program.writeConfig(folder, members, 1024, 192, Program.SETTINGS);
         long started = System.nanoTime();
-        Program next = Program.restarted(config, first.port(), discovery, folder);
-        next.readLog();
+        Program next = Program.startOnPort(config, first.port(), discovery, folder);
+        next.discardLog();
         try {
             Await.until("ready", () -> isReady(next));
             long millis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - started);
-            assertTrue(millis <= READY_WITHIN_MS, "ready after " + millis + " ms");
+            assertTrue(millis <= MAX_READY_MILLIS, "ready after " + millis + " ms");
             serveOne(next);
         } catch (IOException | InterruptedException | RuntimeException | Error e) {
             next.close();
@@ -87,34 +87,34 @@
         return next;
     }
 
-    private String known() {
+    private String knownMember() {
         return member("s-1", backend, "east", "SERVING");
     }
 
-    @Test void whileDiscoveryIsDown() throws IOException, InterruptedException {
+    @Test void becomesReadyWhileDiscoveryIsDown() throws IOException, InterruptedException {
         serveOne(first);
-        restart(known(), nobody()).close();
+        restartAndAwaitReady(knownMember(), unusedAddress()).close();
     }
 
     /** Discovery takes the call and says nothing. */
-    @Test void whileDiscoveryGivesNoAnswer() throws IOException, InterruptedException {
-        try (Peer silent = new Peer()) {
-            restart(known(), silent.address()).close();
+    @Test void becomesReadyWhileDiscoveryIsSilent() throws IOException, InterruptedException {
+        try (FakeServer silent = new FakeServer()) {
+            restartAndAwaitReady(knownMember(), silent.address()).close();
             silent.take();
         }
     }
 
-    @Test void withAFullListOf1024BackendsKnownFromBefore() throws IOException, InterruptedException {
+    @Test void becomesReadyWith1024KnownBackends() throws IOException, InterruptedException {
         String members = IntStream.range(0, 1_024).mapToObj(i -> member("s-" + i, backend, "east", "SERVING"))
             .collect(Collectors.joining(","));
-        restart(members, nobody()).close();
+        restartAndAwaitReady(members, unusedAddress()).close();
     }
 
     /** Clients connect from the first moment on at which they can, and leave half a request behind or say nothing. */
-    @Test void whileACrowdOfClientsConnects() throws IOException, InterruptedException {
+    @Test void becomesReadyWhileManyClientsConnect() throws IOException, InterruptedException {
         List<Client> crowd = new ArrayList<>();
         Thread comers = new Thread(() -> {
-            while (crowd.size() < CROWD && !Thread.currentThread().isInterrupted()) {
+            while (crowd.size() < CLIENT_COUNT && !Thread.currentThread().isInterrupted()) {
                 try {
                     Client client = first.client();
                     crowd.add(client);
@@ -127,9 +127,9 @@
             }
         });
         comers.start();
-        try (Program next = restart(known(), nobody())) {
-            comers.join(TimeUnit.SECONDS.toMillis(Peer.PATIENCE_S));
-            assertEquals(CROWD, crowd.size(), "all have come");
+        try (Program next = restartAndAwaitReady(knownMember(), unusedAddress())) {
+            comers.join(TimeUnit.SECONDS.toMillis(FakeServer.TIMEOUT_SECONDS));
+            assertEquals(CLIENT_COUNT, crowd.size(), "all have come");
             assertTrue(next.process.isAlive());
         } finally {
             comers.interrupt();
@@ -141,7 +141,7 @@
     }
 
     /** The process before was killed while it wrote what it had learnt. */
-    @Test void withAHalfWrittenFileOfWhatWasLearnt() throws IOException, InterruptedException {
+    @Test void becomesReadyWithTruncatedLearnedStateFile() throws IOException, InterruptedException {
         serveOne(first);
         Path learnt = folder.resolve("badgermux-n").resolve("learnt");
         Await.until("what was learnt", () -> Files.isRegularFile(learnt));
@@ -150,7 +150,7 @@
         byte[] half = java.util.Arrays.copyOf(whole, whole.length / 2);
         Files.write(learnt, half);
         Files.write(learnt.resolveSibling("learnt.new"), half);
-        restart(known(), nobody()).close();
+        restartAndAwaitReady(knownMember(), unusedAddress()).close();
     }
 
     /**
@@ -158,12 +158,12 @@
      * on. The protocol page says only that clients are led here once it has answered 200; the users' term of 6 s is about a
      * process that knows a list, or that discovery tells one.
      */
-    @Test void withNoListAndNoDiscoveryItIsNotReadyUntilAListComes() throws IOException, InterruptedException {
+    @Test void isNotReadyUntilDiscoverySendsAList() throws IOException, InterruptedException {
         first.kill();
-        String address = nobody();
-        Path config = Program.config(folder, "", 1024, 192, Program.SETTINGS);
-        try (Program next = Program.restarted(config, first.port(), address, folder)) {
-            next.readLog();
+        String address = unusedAddress();
+        Path config = Program.writeConfig(folder, "", 1024, 192, Program.SETTINGS);
+        try (Program next = Program.startOnPort(config, first.port(), address, folder)) {
+            next.discardLog();
             Await.until("an answer", () -> {
                 try (Client client = next.client()) {
                     return client.get("/healthz").status() == 503;
@@ -171,8 +171,8 @@
                     return false;
                 }
             });
-            try (Peer discovery = new Peer(Integer.parseInt(address.substring(address.indexOf(':') + 1)))) {
-                discovery.take().reply("200 OK", "{\"revision\":2,\"complete\":true,\"members\":[" + known() + "]}");
+            try (FakeServer discovery = new FakeServer(Integer.parseInt(address.substring(address.indexOf(':') + 1)))) {
+                discovery.take().reply("200 OK", "{\"revision\":2,\"complete\":true,\"members\":[" + knownMember() + "]}");
                 Await.until("ready", () -> isReady(next));
                 serveOne(next);
             }
--- a/src/test/java/badgermux/it/SettingsIT.java
+++ b/src/test/java/badgermux/it/SettingsIT.java
@@ -17,46 +17,46 @@
     @TempDir private Path folder;
 
     /** Not one runner of such a deployment was used: its zone and kind were compared with what the settings had become. */
-    @Test void namesWithBlanksAndCommasAreFoundInListsPathsAndHeaders() throws IOException, InterruptedException {
+    @Test void acceptsNamesWithSpacesAndCommas() throws IOException, InterruptedException {
         String settings = Program.SETTINGS.replace("\"east\"", "\"reef, east\"").replace("[\"k\"]", "[\"quad 4\"]")
             .replace("\"preview\"", "\"photo set\"");
-        Peer backend = new Peer();
+        FakeServer backend = new FakeServer();
         String runner = member("s-1", backend, "reef, east", "SERVING").replace("\"k\"", "\"quad 4\"");
         try (Program program = new Program(folder, runner, 1024, settings); Client client = program.client()) {
             for (String path : new String[] {"/photo%20set/7", "/photo_set"}) {
                 client.send(Client.request(path, "5000m", "X-Priority-Class: photo set\r\n", ""));
-                Peer.Call call = backend.take();
+                FakeServer.Exchange call = backend.take();
                 assertTrue(call.head.startsWith("POST " + path + " HTTP/1.1\r\n"), call.head);
-                call.done("r");
+                call.sendResult("r");
                 assertEquals(200, client.read().status());
             }
-            assertEquals(0, program.count("director_entries_skipped"));
+            assertEquals(0, program.counterValue("director_entries_skipped"));
             assertEquals(400, client.send(Client.request("/photo%zz", "5000m", "", "")).read().status());
         }
         backend.close();
     }
 
-    private boolean goesOn(String settings) throws IOException, InterruptedException {
-        Peer backend = new Peer();
-        try (Program program = Program.in(folder, member("s-1", backend, "east", "SERVING"), settings)) {
+    private boolean restoresLearnedState(String settings) throws IOException, InterruptedException {
+        FakeServer backend = new FakeServer();
+        try (Program program = Program.startInFolder(folder, member("s-1", backend, "east", "SERVING"), settings)) {
             try (Client client = program.client()) {
                 client.send(Client.request("/preview", "5000m", "", ""));
-                backend.take().done("r");
+                backend.take().sendResult("r");
                 assertEquals(200, client.read().status());
             }
             program.process.toHandle().destroy();
-            program.output();
-            return program.logged().stream().anyMatch(line -> line.contains("Restored the learned state of the previous process"));
+            program.awaitOutput();
+            return program.awaitFullLog().stream().anyMatch(line -> line.contains("Restored the learned state of the previous process"));
         } finally {
             backend.close();
         }
     }
 
     /** Classes and kinds of the same names, another customer's figures: what was learnt under those is not believed. */
-    @Test void whatWasLearntUnderOtherSettingsIsForeign() throws IOException, InterruptedException {
-        assertFalse(goesOn(Program.SETTINGS));
-        assertTrue(goesOn(Program.SETTINGS), "the same settings");
-        assertFalse(goesOn(Program.SETTINGS.replace("\"GiveUpMs\":5000", "\"GiveUpMs\":9000")), "another customer's");
-        assertFalse(goesOn(Program.SETTINGS), "a configuration that has come back");
+    @Test void ignoresStateLearnedUnderOtherSettings() throws IOException, InterruptedException {
+        assertFalse(restoresLearnedState(Program.SETTINGS));
+        assertTrue(restoresLearnedState(Program.SETTINGS), "the same settings");
+        assertFalse(restoresLearnedState(Program.SETTINGS.replace("\"GiveUpMs\":5000", "\"GiveUpMs\":9000")), "another customer's");
+        assertFalse(restoresLearnedState(Program.SETTINGS), "a configuration that has come back");
     }
 }
--- a/src/test/java/badgermux/it/HardDaysIT.java
+++ b/src/test/java/badgermux/it/SlowClientsIT.java
@@ -17,14 +17,14 @@
 
 /** Peers that write slowly, say half of something or nothing, and crowds of them, on few descriptors. */
 @Timeout(60)
-class HardDaysIT {
+class SlowClientsIT {
     @TempDir private Path folder;
-    private Peer backend;
+    private FakeServer backend;
     private Program program;
 
     @BeforeEach void start() throws IOException {
-        backend = new Peer();
-        program = Program.onCall(folder, member("s-1", backend, "east", "SERVING"), 128);
+        backend = new FakeServer();
+        program = Program.startWithConsole(folder, member("s-1", backend, "east", "SERVING"), 128);
     }
 
     @AfterEach void stop() throws IOException {
@@ -33,7 +33,7 @@
     }
 
     /** Sends a request in pieces, with a pause behind each. */
-    private static void slowly(Client client, String request, int pieces, int millis) throws IOException, InterruptedException {
+    private static void sendSlowly(Client client, String request, int pieces, int millis) throws IOException, InterruptedException {
         int size = (request.length() + pieces - 1) / pieces;
         for (int at = 0; at < request.length(); at += size) {
             client.send(request.substring(at, Math.min(request.length(), at + size)));
@@ -41,15 +41,15 @@
         }
     }
 
-    @Test void aRequestThatComesOverMoreThanTwoSecondsIsServed() throws IOException, InterruptedException {
+    @Test void servesRequestSentOverMoreThanTwoSeconds() throws IOException, InterruptedException {
         try (Client client = program.client()) {
-            slowly(client, Client.request("/preview", "5000m", "", "body"), 9, 290);
-            backend.take().done("r");
+            sendSlowly(client, Client.request("/preview", "5000m", "", "body"), 9, 290);
+            backend.take().sendResult("r");
             assertEquals(200, client.read().status());
         }
     }
 
-    @Test void halfARequestIsToldSoAfterTwoSecondsOfSilence() throws IOException {
+    @Test void answers408AfterTwoSecondsOfSilence() throws IOException {
         try (Client client = program.client()) {
             long before = System.nanoTime();
             client.send("POST /preview HTTP/1.1\r\nHost: x\r\n");
@@ -58,11 +58,11 @@
         }
     }
 
-    @Test void aRequestThatComesBitByBitForEverEndsInTime() throws IOException, InterruptedException {
+    @Test void answers408ToRequestThatNeverEnds() throws IOException, InterruptedException {
         try (Client client = program.client()) {
             long before = System.nanoTime();
             client.send("POST /preview HTTP/1.1\r\nX-A: ");
-            while (client.unread() == 0 && System.nanoTime() - before < 12_000_000_000L) {
+            while (client.unreadBytes() == 0 && System.nanoTime() - before < 12_000_000_000L) {
                 client.send("a");
                 TimeUnit.MILLISECONDS.sleep(200);
             }
@@ -72,7 +72,7 @@
     }
 
     /** More than there is room for send a byte now and then for ever: who is new gets a place all the same. */
-    @Test void aCrowdThatGoesOnByteByByteKeepsNobodyOut() throws IOException, InterruptedException {
+    @Test void servesNewClientDespiteCrowdSendingByteByByte() throws IOException, InterruptedException {
         List<Client> crowd = new ArrayList<>();
         for (int i = 0; i < 80; i++) {
             crowd.add(program.client().send("POST /preview HTTP/1.1\r\nX-A: "));
@@ -97,7 +97,7 @@
         try (Client client = program.client()) {
             long before = System.nanoTime();
             client.send(Client.request("/preview", "9000m", "", ""));
-            backend.take().done("r");
+            backend.take().sendResult("r");
             assertEquals(200, client.read().status());
             assertTrue(System.nanoTime() - before < 5_000_000_000L, "after the 3 s that they are let be");
         } finally {
@@ -110,7 +110,7 @@
     }
 
     /** Ten times as many as there is room for, silent or halfway; new clients are served, also those that send slowly. */
-    @Test void aCrowdOfSilentAndHalfWrittenConnectionsKeepsNobodyOut() throws IOException, InterruptedException {
+    @Test void servesNewClientsDespiteSilentAndHalfSentCrowd() throws IOException, InterruptedException {
         List<Client> crowd = new ArrayList<>();
         for (int turn = 0; turn < 6; turn++) {
             // More come while it sends than there is room for; it is let be for 3 s, however slow this machine is today.
@@ -129,18 +129,18 @@
                     }
                 }
                 slow.send(request.substring(40));
-                backend.take().done("slow");
+                backend.take().sendResult("slow");
                 assertEquals("slow", slow.read().body(), "crowd of " + crowd.size());
             }
             if (turn % 2 == 1) {
                 long before = System.nanoTime();
                 try (Client client = program.client()) {
                     client.send(Client.request("/preview", "5000m", "", ""));
-                    backend.take().done("r");
+                    backend.take().sendResult("r");
                     assertEquals(200, client.read().status());
                 }
                 assertTrue(System.nanoTime() - before < 3_000_000_000L, "served in time, crowd of " + crowd.size());
-                assertEquals("200 ready\n", program.call("HEALTH"));
+                assertEquals("200 ready\n", program.callConsole("HEALTH"));
             }
         }
         for (Client client : crowd) {
--- a/src/test/java/badgermux/it/Holder.java
+++ b/src/test/java/badgermux/it/Supervisor.java
@@ -10,26 +10,26 @@
 import java.util.List;
 
 /** The platform of an upgrade: holds the clients' listening socket, which each process started here inherits. */
-final class Holder implements Closeable {
+final class Supervisor implements Closeable {
     /** One process of the dispatcher. */
-    final class Run {
+    final class Instance {
         final ProcessHandle process;
         private final Path log;
-        private int callPort;
+        private int consolePort;
 
-        Run(ProcessHandle process, Path log) {
+        Instance(ProcessHandle process, Path log) {
             this.process = process;
             this.log = log;
         }
 
         /** Waits until its log has a line with this text. */
-        Run awaits(String text) {
+        Instance awaitLog(String text) {
             Await.until(text, () -> log().contains(text));
             return this;
         }
 
         /** Waits for its yes. */
-        Run awaitsReady() {
+        Instance awaitReady() {
             Await.until("its yes", this::isReady);
             return this;
         }
@@ -42,25 +42,25 @@
             return Files.readString(log.resolveSibling(log.getFileName() + ".out"));
         }
 
-        String call(String line) throws IOException {
-            if (callPort == 0) {
-                String told = awaits("operators call on ").log();
-                callPort = Integer.parseInt(told.replaceAll("(?s).*operators call on [^:]*:(\\d+)\n.*", "$1"));
+        String callConsole(String line) throws IOException {
+            if (consolePort == 0) {
+                String told = awaitLog("operators call on ").log();
+                consolePort = Integer.parseInt(told.replaceAll("(?s).*operators call on [^:]*:(\\d+)\n.*", "$1"));
             }
-            return Program.call(callPort, line);
+            return Program.callConsole(consolePort, line);
         }
 
         /** Whether it says that it is ready; no while nobody answers there. */
         boolean isReady() {
             try {
-                return call("HEALTH").startsWith("200");
+                return callConsole("HEALTH").startsWith("200");
             } catch (IOException e) {
                 return false;
             }
         }
 
-        long figure(String name) throws IOException {
-            return Program.figure(call("DUMP"), name);
+        long dumpValue(String name) throws IOException {
+            return Program.dumpValue(callConsole("DUMP"), name);
         }
 
         void signal(String name) throws IOException, InterruptedException {
@@ -68,37 +68,37 @@
         }
 
         /** Waits for its end. */
-        void join() {
+        void awaitExit() {
             Await.until("its end", () -> !process.isAlive());
         }
     }
 
-    final Peer discovery = new Peer();
+    final FakeServer discovery = new FakeServer();
     final int port;
     private final Path folder;
-    private final Process holder;
-    private final BufferedReader told;
-    private final List<Run> runs = new ArrayList<>();
+    private final Process process;
+    private final BufferedReader replies;
+    private final List<Instance> instances = new ArrayList<>();
 
-    Holder(Path folder, String members, int sockets, String settings) throws IOException {
+    Supervisor(Path folder, String members, int sockets, String settings) throws IOException {
         this.folder = folder;
-        Program.config(folder, members, sockets, 192, settings);
-        holder = new ProcessBuilder("perl", "src/test/resources/hold.pl").redirectError(ProcessBuilder.Redirect.INHERIT).start();
-        told = holder.inputReader(StandardCharsets.US_ASCII);
-        port = Integer.parseInt(told.readLine());
+        Program.writeConfig(folder, members, sockets, 192, settings);
+        process = new ProcessBuilder("perl", "src/test/resources/hold.pl").redirectError(ProcessBuilder.Redirect.INHERIT).start();
+        replies = process.inputReader(StandardCharsets.US_ASCII);
+        port = Integer.parseInt(replies.readLine());
     }
 
     /** Starts a process as the platform does in an upgrade. */
-    Run start() throws IOException {
-        Path log = folder.resolve("run" + runs.size());
-        Files.createFile(folder.resolve("run" + runs.size() + ".err"));
-        String line = String.join("\t", log.toString(), Program.command(), "GW_CONFIG=" + folder.resolve("config.json"),
+    Instance start() throws IOException {
+        Path log = folder.resolve("run" + instances.size());
+        Files.createFile(folder.resolve("run" + instances.size() + ".err"));
+        String line = String.join("\t", log.toString(), Program.runCommand(), "GW_CONFIG=" + folder.resolve("config.json"),
             "TMPDIR=" + folder, "GW_LISTEN=127.0.0.1:" + port, "GW_DISCOVERY=" + discovery.address(),
             "GW_ADMIN=127.0.0.1:0", "GW_SOCKET_FD=0");
-        holder.getOutputStream().write((line + "\n").getBytes(StandardCharsets.UTF_8));
-        holder.getOutputStream().flush();
-        runs.add(new Run(ProcessHandle.of(Long.parseLong(told.readLine())).orElseThrow(), log));
-        return runs.get(runs.size() - 1);
+        process.getOutputStream().write((line + "\n").getBytes(StandardCharsets.UTF_8));
+        process.getOutputStream().flush();
+        instances.add(new Instance(ProcessHandle.of(Long.parseLong(replies.readLine())).orElseThrow(), log));
+        return instances.get(instances.size() - 1);
     }
 
     Client client() throws IOException {
@@ -106,8 +106,8 @@
     }
 
     @Override public void close() throws IOException {
-        runs.forEach(run -> run.process.destroyForcibly());
-        holder.destroy();
+        instances.forEach(run -> run.process.destroyForcibly());
+        process.destroy();
         discovery.close();
     }
 }
