--- a/src/main/java/badgermux/DescriptorBudget.java
+++ b/src/main/java/badgermux/DescriptorBudget.java
@@ -3,14 +3,14 @@
 /**
  * Divides the process's file descriptors among the kinds of connections.
  *
- * @param clientConnections       client connections that are served at once; those with an open request take a third of
- *                                all descriptors at most
+ * @param clientConnections       client connections that are served at once; at least a third of all descriptors, which those
+ *                                with an open request may take
  * @param excessClientConnections client connections accepted beyond that, only to be refused
  * @param backendConnections      connections to backends; each open request may need one
  * @param consoleConnections      operators' connections to the console
  */
 record DescriptorBudget(int clientConnections, int excessClientConnections, int backendConnections, int consoleConnections) {
-    /** Upper bound of the reserve for everything else: files, the selector, listeners, discovery, links and a margin. */
+    /** Upper bound of the reserve for everything else: files, the selector, listeners, discovery, handover links, a margin. */
     private static final int MAX_RESERVE = 48;
     /** Lower bound of that reserve. */
     private static final int MIN_RESERVE = 22;
--- a/src/main/java/badgermux/DispatcherProcess.java
+++ b/src/main/java/badgermux/DispatcherProcess.java
@@ -37,7 +37,7 @@
  * SIGTERM.
  */
 final class DispatcherProcess {
-    /** Buffered request bodies may take this fraction of the memory limit: 12 MB of 192 MB. */
+    /** Buffered request bodies may take the memory limit divided by this: 12 MB of 192 MB. */
     private static final int BODY_MEMORY_DIVISOR = 16;
     /** How long the shutdown waits for the metrics, and then for the log, to be written. */
     private static final long OUTPUT_TIMEOUT_MILLIS = 200;
@@ -54,7 +54,7 @@
     private AdminService adminService;
     private OperatorConsole console;
     private LearnedStateStore learnedState;
-    /** The scheduled run of the next deadline. */
+    /** The task on the event loop that runs the next deadlines; null before the first is scheduled. */
     private Future<?> alarm;
     /** The metrics as of the end of the drain, for standard output. */
     private volatile String finalMetrics = "";
@@ -73,14 +73,14 @@
         new DispatcherProcess(environment, null).serve();
     }
 
-    /** Does the same with the options of the command line. */
+    /** Serves with the options of the command line until the shutdown that SIGTERM starts is complete. */
     static void run(Map<String, String> environment, ServeOptions options)
             throws ConfigException, InterruptedException {
         new DispatcherProcess(environment, options).serve();
     }
 
     private void serve() throws ConfigException, InterruptedException {
-        // Must come first: without a handler, SIGHUP terminates the process.
+        // Comes before everything else: without a handler, SIGHUP terminates the process.
         SighupHandler.handle(this::reload);
         Config config = Config.read(environment);
         ServerSocketChannel inherited = config.inheritsSocket() ? inheritedSocket() : null;
@@ -100,7 +100,7 @@
         try {
             awaitListeners(config, bound);
         } catch (ConfigException e) {
-            shutdownComplete.countDown();      // nothing was started, so the shutdown hook must not wait
+            shutdownComplete.countDown();      // startup failed, so the shutdown hook must not drain
             throw e;
         }
         startupComplete.countDown();
@@ -220,10 +220,10 @@
 
     /** Shutdown hook: returns, and lets the process exit, once every accepted request is answered. */
     private void shutDown() {
-        long signalledAt = clock.nowMicros();      // first, since the time until SIGKILL counts from here
+        long signalledAtMicros = clock.nowMicros();      // first, since the time until SIGKILL counts from here
         try {
             if (shutdownComplete.getCount() > 0) {
-                loop.execute(() -> drain(signalledAt));
+                loop.execute(() -> drain(signalledAtMicros));
                 shutdownComplete.await();
                 // On a daemon thread with a timeout: a reader that does not drain the pipe must not block the exit.
                 Thread printer = new Thread(() -> {
@@ -240,7 +240,7 @@
         }
     }
 
-    private void drain(long signalledAt) {
+    private void drain(long signalledAtMicros) {
         if (shuttingDown) {
             return;
         }
@@ -251,7 +251,7 @@
         if (frontend == null) {
             shutdownComplete.countDown();      // no client has connected, and none can from here on
         } else {
-            frontend.drain(signalledAt, this::onDrained);
+            frontend.drain(signalledAtMicros, this::onDrained);
         }
     }
 
--- a/src/main/java/badgermux/OperatorConsole.java
+++ b/src/main/java/badgermux/OperatorConsole.java
@@ -46,7 +46,7 @@
         thread.setDaemon(true);
         return thread;
     });
-    /** The number of the last update of each backend whose file is being written. */
+    /** For each backend that has updates not written yet, the number of the last of them. */
     private final Map<String, Long> lastUpdateByBackend = new HashMap<>();
     private final HandoverCoordinator handover;
     private long updateCount;
@@ -82,9 +82,10 @@
                 throw new IOException("TMPDIR is not set");
             }
             CordonStore opened = CordonStore.open(folder);
-            opened.cordoned().forEach((id, millis) -> cordons.cordon(id, clock.fromUnixMillis(millis)));
-            opened.returned(System.currentTimeMillis() - warmUpMicros / 1000).forEach((id, millis) -> cordons.recordAbsence(id,
-                new Cordons.Absence(clock.fromUnixMillis(millis[0]), clock.fromUnixMillis(millis[1]))));
+            opened.cordoned().forEach((id, sinceMillis) -> cordons.cordon(id, clock.fromUnixMillis(sinceMillis)));
+            opened.returned(System.currentTimeMillis() - warmUpMicros / 1000).forEach((id, millisOfCordonAndReturn) ->
+                cordons.recordAbsence(id, new Cordons.Absence(clock.fromUnixMillis(millisOfCordonAndReturn[0]),
+                    clock.fromUnixMillis(millisOfCordonAndReturn[1]))));
             if (!cordons.cordoned().isEmpty()) {
                 Logger.info("Cordoned backends: {}", cordons.cordoned().keySet());
             }
@@ -151,6 +152,7 @@
         discovery.republish(id);
         Logger.info("Cordoned backend {}", id);
         save(id, store -> store.cordon(id), (failure, latest) -> {
+            // A cordon that could not be stored is undone, unless a later command has changed it.
             if (failure != null && !alreadyCordoned && latest) {
                 cordons.uncordon(id, clock.nowMicros());
                 discovery.republish(id);
@@ -166,8 +168,8 @@
             onDone.accept(discovery.isListed(id) ? null : "no runner has the id " + id);
             return;
         }
-        long cordonedAt = clock.toUnixMillis(cordons.cordonedSince(id));
-        save(id, store -> store.uncordon(id, cordonedAt), (failure, latest) -> {
+        long cordonedAtMillis = clock.toUnixMillis(cordons.cordonedSince(id));
+        save(id, store -> store.uncordon(id, cordonedAtMillis), (failure, latest) -> {
             // Skipped if a later command cordoned the backend again: the latest command wins.
             if (failure == null && latest) {
                 long now = clock.nowMicros();
@@ -190,7 +192,7 @@
 
     /** Called on the event loop after an update was written, or could not be. */
     private interface SaveListener {
-        /** {@code failure} is null on success; {@code latest} says whether no later update is for the same backend. */
+        /** {@code failure} is null on success; {@code latest} is false if a later update of the same backend has begun. */
         void onSaved(String failure, boolean latest);
     }
 
--- a/src/main/java/badgermux/admin/AdminServer.java
+++ b/src/main/java/badgermux/admin/AdminServer.java
@@ -37,7 +37,7 @@
  * separate thread handles the requests one after another.
  */
 public final class AdminServer {
-    /** The size limit of a request body: a set of descriptions in JSON. */
+    /** The size limit of a request body, which may be a set of descriptions in JSON. */
     static final int MAX_BODY_BYTES = 40 << 20;
     /** A connection on which no complete request arrives in this time is closed. */
     static final long REQUEST_TIMEOUT_MICROS = 30_000_000;
@@ -143,7 +143,8 @@
     }
 
     /**
-     * Handles a request on the admin thread.
+     * Handles a request. Called on the event loop; a malformed target or an unknown resource is refused at once, and anything
+     * else is handled on the admin thread.
      *
      * @param body     the body in pieces
      * @param callback receives the response on the event loop
--- a/src/main/java/badgermux/config/Config.java
+++ b/src/main/java/badgermux/config/Config.java
@@ -30,7 +30,7 @@
  * @param seed                 the seed of random numbers
  * @param maxDescriptors       how many file descriptors the process may use
  * @param memoryMb             how much memory the process may use, in MB
- * @param cachedList           the backend list as last known
+ * @param cachedList           the backend list in the file, used until discovery returns one
  * @param settings             the settings of the decision module
  * @param zoneNames            the names of the zones, by the decision module's index
  * @param kindNames            the names of the kinds of backends, by the decision module's index
@@ -41,8 +41,8 @@
         InetSocketAddress adminAddress, boolean inheritsSocket, long seed, int maxDescriptors, int memoryMb,
         BackendListCodec.BackendList cachedList, DispatchPolicy.Settings settings, List<String> zoneNames,
         List<String> kindNames, long connectTimeoutMicros, String settingsFingerprint) {
-    private static final int DEFAULT_MAX_DESCRIPTORS = 1024;
-    private static final int MIN_MAX_DESCRIPTORS = 128;
+    private static final int DEFAULT_DESCRIPTOR_LIMIT = 1024;
+    private static final int MIN_DESCRIPTOR_LIMIT = 128;
     private static final int DEFAULT_MEMORY_MB = 192;
     private static final int MIN_MEMORY_MB = 32;
     private static final double DEFAULT_CONNECT_TIMEOUT_MS = 250;
@@ -105,7 +105,8 @@
 
         /**
          * Flattens the settings object to the simulator's format: pairs of a path and a value. A list of plain values becomes
-         * one value joined by commas; a list of objects gets a {@code .count} and an index in the paths.
+         * one value joined by commas; a list of objects gets a {@code .count} and an index in the paths. An empty list is
+         * written in both ways, because its items could be of either kind.
          */
         private static void flatten(String path, JsonElement value, Map<String, String> pairs) {
             if (value.isJsonObject()) {
@@ -190,6 +191,7 @@
         }
 
         private long seed() throws ConfigException {
+            // No environment variable has an empty name, so the seed is read from the file only.
             String value = text("", "seed", null);
             try {
                 return value == null ? System.nanoTime() : Long.parseUnsignedLong(value, 16);
@@ -199,7 +201,7 @@
         }
 
         private int maxDescriptors() throws ConfigException {
-            return limit("sockets", DEFAULT_MAX_DESCRIPTORS, MIN_MAX_DESCRIPTORS);
+            return limit("sockets", DEFAULT_DESCRIPTOR_LIMIT, MIN_DESCRIPTOR_LIMIT);
         }
 
         private int memoryMb() throws ConfigException {
@@ -232,7 +234,7 @@
                     return number;
                 }
             } catch (NumberFormatException e) {
-                // reported below, as a number that is not finite
+                // reported below, like a number that is not finite
             }
             throw new ConfigException(key + " is not a number: " + value);
         }
--- a/src/main/java/badgermux/config/SettingsParser.java
+++ b/src/main/java/badgermux/config/SettingsParser.java
@@ -79,6 +79,7 @@
         return new ParsedSettings(settings, list("Report.Columns"));
     }
 
+    /** Parses the request class of an index. Extra.ClassKind may restrict it to one kind; a negative value does not. */
     private DispatchPolicy.RequestClass requestClass(String prefix, int index, int kindCount) {
         String[] classKinds = list("Extra.ClassKind");
         String[] classStretches = list("Extra.ClassStretch");
@@ -156,7 +157,7 @@
                 return number;
             }
         } catch (NumberFormatException e) {
-            // reported below, as a number that is not finite
+            // reported below, like a number that is not finite
         }
         throw new IllegalArgumentException("setting " + key + " is not a number: " + value);
     }
--- a/src/main/java/badgermux/console/Console.java
+++ b/src/main/java/badgermux/console/Console.java
@@ -29,7 +29,7 @@
     private final CommandHandler handler;
     private int maxConnections;
     /** Connections without a reply yet, the oldest first. */
-    private final LinkedHashSet<ConsoleConnection> waiting = new LinkedHashSet<>();
+    private final LinkedHashSet<ConsoleConnection> awaitingReply = new LinkedHashSet<>();
     /** Connections that have their reply and are not closed yet, the oldest first. */
     private final LinkedHashSet<ConsoleConnection> lingering = new LinkedHashSet<>();
     private Channel listener;
@@ -77,27 +77,27 @@
     // ---- Called by connections
 
     /**
-     * Registers a connection. At the limit, the oldest connection is closed, one that has its reply if possible: otherwise
-     * connections that never complete a line could lock out operators.
+     * Registers a connection. At the limit, the oldest connection that has its reply is closed, or the oldest of all if none
+     * has one. If none was closed, connections that never complete a line could keep operators from connecting.
      */
     void onOpened(ConsoleConnection connection) {
-        if (waiting.size() + lingering.size() >= maxConnections) {
-            ConsoleConnection oldest = (lingering.isEmpty() ? waiting : lingering).iterator().next();
+        if (awaitingReply.size() + lingering.size() >= maxConnections) {
+            ConsoleConnection oldest = (lingering.isEmpty() ? awaitingReply : lingering).iterator().next();
             metrics.increment(Count.CONSOLE_CALLERS_EVICTED);
             onClosed(oldest);
             oldest.close();
         }
-        waiting.add(connection);
+        awaitingReply.add(connection);
     }
 
     void onAnswered(ConsoleConnection connection) {
-        if (waiting.remove(connection)) {
+        if (awaitingReply.remove(connection)) {
             lingering.add(connection);
         }
     }
 
     void onClosed(ConsoleConnection connection) {
-        waiting.remove(connection);
+        awaitingReply.remove(connection);
         lingering.remove(connection);
     }
 
--- a/src/main/java/badgermux/contract/ContractSet.java
+++ b/src/main/java/badgermux/contract/ContractSet.java
@@ -88,7 +88,7 @@
     /**
      * The result of validating a request.
      *
-     * @param responseValidator validates the response; null if the request is refused or has no described operation
+     * @param responseValidator validates the response; null if the request is refused or no description has its path
      */
     public record RequestValidation(ValidationResult result, ResponseValidator responseValidator) { }
 
@@ -134,6 +134,7 @@
     }
 
     private void addRoute(ApiDescription description, ApiDescription.Route route, List<Problem> problems) {
+        // If the table has an equal template already, put returns its operations and ignores the new ones.
         PathOperations newOperations = new PathOperations();
         PathOperations existing = paths.put(route.template(), newOperations);
         PathOperations operations = existing == null ? newOperations : existing;
@@ -207,6 +208,7 @@
                 List.of(new Fault("path", "", "method", "must be one of " + allowedMethods)), allowedMethods,
                 pathMatch.route().operations.values().iterator().next().descriptionName), null);
         }
+        // A request that matches a channel but no operation is validated by an operation without parameters or body schema.
         Operation validatingOperation = operation != null ? operation
             : new Operation(channelMatch.route().requestStream() == null ? responseStream.descriptionName()
                 : requestStream.descriptionName(), "", "");
--- a/src/main/java/badgermux/contract/MessageStream.java
+++ b/src/main/java/badgermux/contract/MessageStream.java
@@ -36,7 +36,7 @@
     private final Map<String, Message> messages;
     private final MessageOrder order;
 
-    /** {@code messages} are by name; {@code order} is null if any message is allowed at any time. */
+    /** {@code messages} has each message by its name; {@code order} is null if any message is allowed at any time. */
     MessageStream(String descriptionName, String address, Map<String, Message> messages, MessageOrder order) {
         this.descriptionName = descriptionName;
         this.address = address;
@@ -109,7 +109,7 @@
     final class Validator {
         private final HttpRequest.Headers headers;
         private final SchemaCompiler.Direction direction;
-        /** For each correlation id, the messages that the last line with this id can have been. */
+        /** For each correlation id, the names of the messages that the last line with this id matched and that were allowed. */
         private final Map<String, Set<String>> statesByCorrelation = new HashMap<>();
         private int lineCount;
 
@@ -131,6 +131,7 @@
             JsonNode value = Json.parseMessage(line);
             long maxMessageSteps = Math.min(maxSteps, SchemaCompiler.MAX_QUICK_STEPS);
             Map<String, Set<String>> matchesByCorrelation = new HashMap<>();
+            // The faults of the only described message; stays empty where the stream has several messages.
             List<Fault> onlyMessageFaults = new ArrayList<>();
             for (Message message : messages.values()) {
                 List<Fault> faults = validateMessage(message, value, maxMessageSteps);
@@ -149,8 +150,8 @@
         }
 
         /**
-         * Moves the automaton of the line's correlation id to the messages that the line matches. A line can match messages
-         * with different correlation ids; the first id whose order allows a match is used.
+         * Replaces the state of the line's correlation id with the messages that the line matches and the order allows. A line
+         * can match messages with different correlation ids; the first id for which a match is allowed is used.
          */
         private List<Fault> advance(Map<String, Set<String>> matchesByCorrelation) {
             Set<String> received = new LinkedHashSet<>();
--- a/src/main/java/badgermux/contract/Parameter.java
+++ b/src/main/java/badgermux/contract/Parameter.java
@@ -91,6 +91,7 @@
 
     /** Validates this parameter in a query; {@code pairs} are all pairs of the query. */
     void validateQuery(List<QueryPair> pairs, List<Fault> faults, long maxSteps) throws SyntaxException {
+        // The value, coerced to the expected type and with strings preferred.
         JsonNode[] candidates = new JsonNode[2];
         if (!jsonEncoded && style.equals("deepObject")) {
             candidates = parseDeepObject(pairs, faults);
@@ -142,8 +143,9 @@
     }
 
     /**
-     * Parses the style deepObject, {@code name[member]=value}. Returns two objects, with members coerced to typed values and
-     * with strings preferred; both are null if there is no member. Returns null and adds a fault if a member is repeated.
+     * Parses the style deepObject, {@code name[member]=value}. Returns the object twice: with its members coerced to typed
+     * values, and with strings preferred. Both are null if there is no member. Returns null and adds a fault if a member is
+     * repeated.
      */
     private JsonNode[] parseDeepObject(List<QueryPair> pairs, List<Fault> faults) {
         Map<String, List<String>> valuesByMember = new LinkedHashMap<>();
@@ -171,8 +173,8 @@
     }
 
     /**
-     * Parses an exploded object, whose members are parameters of their own. Returns two objects, with members coerced to typed
-     * values and with strings preferred; both are null if there is no member.
+     * Parses an exploded object, each of whose members is a pair of its own in the query. Returns the object twice: with its
+     * members coerced to typed values, and with strings preferred. Both are null if there is no member.
      */
     private JsonNode[] parseExplodedObject(List<QueryPair> pairs) {
         JsonNode[] candidates = new JsonNode[2];
@@ -189,7 +191,7 @@
     }
 
     /**
-     * Validates a value as the expected type requires.
+     * Converts a text to a value of the expected type and validates it.
      *
      * @param text  the whole text
      * @param parts the text split into elements, or into names and values
--- a/src/main/java/badgermux/contract/SchemaCompiler.java
+++ b/src/main/java/badgermux/contract/SchemaCompiler.java
@@ -31,16 +31,19 @@
  * Matching Can Be Simple And Fast", 2007).
  */
 final class SchemaCompiler {
-    /** The direction of a message: a request may not contain read-only members, a response no write-only ones. */
+    /**
+     * The direction of a message: a request may not contain read-only members, a response no write-only ones; an event, which
+     * is a line of a response, may contain both.
+     */
     enum Direction { REQUEST, RESPONSE, EVENT }
 
-    /** The number of keywords that one validation on the event loop may evaluate. */
+    /** The steps that one validation on the event loop, or of one message of a stream, may take: evaluated keywords. */
     static final long MAX_QUICK_STEPS = 4_000;
-    /** The number of keywords that any other validation may evaluate. */
+    /** The steps that any other validation may take: evaluated keywords. */
     static final long MAX_STEPS = 400_000;
     /** How deep evaluated keywords may nest. */
     private static final int MAX_EVALUATION_DEPTH = 400;
-    /** In characters. The automaton of a longer pattern could exhaust the heap. */
+    /** The maximum length in characters; the automaton that RE2/J builds of a longer pattern could exhaust the heap. */
     private static final int MAX_PATTERN_LENGTH = 2_000;
 
     /** The keywords that, beside {@code type: string}, put no restriction on a string. */
@@ -158,8 +161,8 @@
     }
 
     /**
-     * Compiles the schema at a pointer, with all schemas that it refers to. Validates a null value once, which reveals
-     * references without an end.
+     * Compiles the schema at a pointer, with all schemas that it refers to. Validates a null value once, which reveals a
+     * schema that refers to itself without an end.
      *
      * @throws DescriptionException if the schema can't be used
      */
@@ -188,8 +191,9 @@
             throw new DescriptionException(bundle.problemAt(pointer, "the schema refers to itself without an end"));
         } catch (RuntimeException e) {
             for (Throwable cause = e; cause != null; cause = cause.getCause()) {
-                if (cause instanceof UnsupportedPatternException bad) {
-                    throw new DescriptionException(bundle.problemAt(bad.locate(bundle, pointer), bad.getMessage()));
+                if (cause instanceof UnsupportedPatternException unsupported) {
+                    throw new DescriptionException(bundle.problemAt(unsupported.locate(bundle, pointer),
+                        unsupported.getMessage()));
                 }
             }
             throw new DescriptionException(bundle.problemAt(pointer, "the schema can't be used: "
@@ -233,6 +237,7 @@
                     return pointer + "/pattern";
                 }
                 for (Map.Entry<String, JsonNode> member : node.properties()) {
+                    // The keys of patternProperties are patterns, too.
                     if (member.getKey().equals(pattern)) {
                         return pointer + '/' + Json.escapeToken(pattern);
                     }
--- a/src/main/java/badgermux/discovery/BackendListCodec.java
+++ b/src/main/java/badgermux/discovery/BackendListCodec.java
@@ -18,13 +18,16 @@
         boolean complete;
         List<Member> members = List.of();
 
-        /** Returns the list with the higher revision. */
-        public static BackendList newer(BackendList one, BackendList other) {
-            return one.revision > other.revision ? one : other;
+        /** Returns the list with the higher revision; the second one if they are equal. */
+        public static BackendList newer(BackendList first, BackendList second) {
+            return first.revision > second.revision ? first : second;
         }
     }
 
-    /** An entry of the list: one backend. */
+    /**
+     * An entry of the list: one backend. The fields are named as in the JSON: the locality is the zone, the flavor the machine
+     * kind, and {@code upSinceMs} is a Unix time in milliseconds.
+     */
     static final class Member {
         String id;
         String hostPort;
--- a/src/main/java/badgermux/discovery/DiscoveryClient.java
+++ b/src/main/java/badgermux/discovery/DiscoveryClient.java
@@ -97,13 +97,13 @@
      * Creates a client that does not send requests yet.
      *
      * @param discoveryAddress the address of the discovery service
-     * @param cachedList       the list as last known
+     * @param cachedList       the list to start with, from the configuration file or from the previous process
      * @param zoneNames        the names of the zones, by the decision module's index
      * @param kindNames        the names of the kinds of backends, by the decision module's index
      * @param listFilter       corrects lists before use; null to use them as received
      * @param cordons          the backends cordoned by operators; null where operators can't cordon
-     * @param listPushed       whether the list comes from a local agent without being asked for by the decision module: the
-     *                         agent is then watched from the start, also after failed requests
+     * @param listPushed       whether the list comes from a local agent, which is watched from the start and again after each
+     *                         failed request; otherwise the decision module starts each watch
      */
     public DiscoveryClient(EventLoopGroup loop, Deadlines deadlines, Clock clock, Metrics metrics, Engine<?> engine,
             HttpBackendClient backends, InetSocketAddress discoveryAddress, BackendListCodec.BackendList cachedList,
@@ -164,8 +164,8 @@
     }
 
     /**
-     * Retries soon, without reporting a failure, which would add a pause: under a flood of connections every descriptor is
-     * taken again as soon as it is released.
+     * Retries soon. No failure is reported, because the pause that follows a failure would be too long: under a flood of
+     * connections every descriptor is taken again as soon as it is released.
      */
     private void retryForDescriptor() {
         connection = null;
@@ -177,9 +177,9 @@
     }
 
     /**
-     * Repeats a watch that timed out, at once and on another connection. The dispatcher has to know of a drain within
-     * {@link WatchTiming#MAX_PROPAGATION_MICROS}, also if the silent watch missed it; after the pause that follows a failure,
-     * the response would come too late. A second timeout in a row is a failure.
+     * Repeats a watch that timed out, at once and on another connection. The dispatcher has to learn of a drain within
+     * {@link WatchTiming#MAX_PROPAGATION_MICROS}, also of one that began during the watch that got no response; after the
+     * pause that follows a failure, the response would come too late. A second timeout in a row is a failure.
      */
     private void onWatchTimeout() {
         if (recovering) {
@@ -192,7 +192,7 @@
         }
     }
 
-    /** Drops the current exchange, without telling the decision module, and its connection. */
+    /** Drops the current exchange and its connection. No failure is reported to the decision module. */
     private void abortWatch() {
         if (currentWatch != null) {
             deadlines.cancel(currentWatch.timeout);
@@ -206,7 +206,7 @@
 
     /**
      * Continues with the discovery service at another address: watches there at once, from the current revision. The current
-     * exchange is dropped. That is not a failure, and the decision module is not told.
+     * exchange is dropped, which is not reported as a failure to the decision module.
      */
     public void switchTo(InetSocketAddress newAddress) {
         if (!newAddress.equals(address)) {
@@ -254,7 +254,7 @@
             handleOlderList(list);
             return;
         }
-        // Another service numbers its revisions differently and may have made changes before this one: request its whole list.
+        // Another service numbers its revisions differently, so these may not be all changes: request its whole list.
         boolean needsWholeList = list.revision < revision && !list.complete;
         staleSinceMicros = 0;
         addressChanged = false;
@@ -274,8 +274,9 @@
     /**
      * Handles a list with an older revision than the current one. It may come from a replica that lags, whose list would
      * bring back backends that have left, or from a service that was restarted and numbers its revisions from the start. In
-     * either case backends that it lists as draining or gone get no new requests, and the whole list is requested next,
-     * which shows which case it is.
+     * either case backends that it lists as draining or gone get no new requests. The whole list, which shows which case it
+     * is, is requested at once if there are such backends, otherwise once the revisions have been older for
+     * {@link WatchTiming#MAX_STALE_REVISIONS_MICROS}.
      */
     private void handleOlderList(BackendListCodec.BackendList list) {
         List<DispatchPolicy.Backend> leaving = toBackends(list.members.stream()
@@ -407,16 +408,16 @@
         if (known != null) {
             return known;
         }
-        long hash = Names.hash(id);
-        while (idsByNumber.containsKey(hash)) {
-            hash++;
+        long unusedNumber = Names.hash(id);
+        while (idsByNumber.containsKey(unusedNumber)) {
+            unusedNumber++;
         }
-        long number = hash;
-        // Logged later: the first log line of a process takes longer than all the rest here and would delay the start.
+        long number = unusedNumber;
+        // Logged later: the first log line of a process takes longer than the rest of this method and would delay the start.
         deadlines.scheduleAfter(LOG_DELAY_MICROS, () -> Logger.info("Backend {} has the id {}", Long.toHexString(number), id));
-        idsByNumber.put(hash, id);
-        numbersById.put(id, hash);
-        return hash;
+        idsByNumber.put(unusedNumber, id);
+        numbersById.put(id, unusedNumber);
+        return unusedNumber;
     }
 
     /** One request for changes of the list. */
--- a/src/main/java/badgermux/gate/ContractResource.java
+++ b/src/main/java/badgermux/gate/ContractResource.java
@@ -59,6 +59,7 @@
     private final ExecutorService eventLoop;
     private final Map<String, StoredDescription> descriptions = new TreeMap<>();
     private ContractSet contracts;
+    /** Whether requests to paths without a description are passed on; otherwise they are refused. */
     private boolean passesUndescribed;
     private ContractValidator contractValidator;
 
@@ -163,8 +164,8 @@
     }
 
     /**
-     * Checks If-Match, so that an operator can't overwrite another operator's change unseen. Returns null if the request may
-     * go on, else the response.
+     * Checks If-Match, so that an operator can't overwrite another operator's change without having seen it. Returns null if
+     * the request may go on, else the response.
      */
     private static AdminResponse checkPrecondition(AdminRequest request, StoredDescription existing) {
         if (existing == null) {
@@ -263,7 +264,7 @@
      * @param updated  all descriptions after the change
      * @param compiled the added or replacing description; null for another change
      * @param existing the replaced or removed description; null for another change
-     * @param name     the changed description; null if only the setting changes
+     * @param name     the name of the changed description; null if only the setting for undescribed paths changes
      */
     private AdminResponse applyChange(AdminRequest request, Map<String, StoredDescription> updated, boolean passUndescribed,
             StoredDescription compiled, StoredDescription existing, String name) throws Exception {
--- a/src/main/java/badgermux/gate/ContractValidator.java
+++ b/src/main/java/badgermux/gate/ContractValidator.java
@@ -24,8 +24,9 @@
 
 /**
  * Validates requests against the contracts in force, and each response against the contracts that accepted its request.
- * Small bodies are validated on the event loop within a small step limit. Large bodies, and those that exceed this limit,
- * are validated in a thread pool so that they don't delay other requests. All methods are called on the event loop.
+ * Small bodies are validated on the event loop within a small limit on validation steps. Large bodies, and those that exceed
+ * this limit, are validated in a thread pool so that they don't delay other requests. All methods are called on the event
+ * loop.
  */
 public final class ContractValidator implements RequestValidator {
     /** The longest body, in bytes, that is validated on the event loop. */
@@ -33,10 +34,10 @@
     /** The longest queue in front of the thread pool. A request beyond it is refused as an overload, to be retried later. */
     private static final int MAX_QUEUED_VALIDATIONS = 256;
     private static final int VALIDATION_THREADS = 2;
-    /** Bounds the log output that a backend with invalid responses can cause. */
+    /** The number of faults logged in the life of the process: bounds the log output of backends with invalid responses. */
     private static final int MAX_LOGGED_FAULTS = 20;
 
-    /** A set of contracts, and the number of requests that it accepted and that have no final answer yet. */
+    /** A set of contracts, and the number of requests to described paths that it accepted and that have no final answer yet. */
     private static final class Revision {
         private final ContractSet contracts;
         private int openRequests;
@@ -66,7 +67,7 @@
         validationPool = new ThreadPoolExecutor(VALIDATION_THREADS, VALIDATION_THREADS, 10, TimeUnit.SECONDS,
             new ArrayBlockingQueue<>(MAX_QUEUED_VALIDATIONS),
             task -> {
-                // A value and a schema that are both nested as deep as allowed could overflow the default stack.
+                // A 4 MB stack: a value and a schema that are both nested as deep as allowed could overflow the default one.
                 Thread thread = new Thread(null, task, "contract-validation", 4 << 20);
                 thread.setDaemon(true);
                 return thread;
@@ -191,9 +192,9 @@
             };
         }
 
-        @Override public void validateResult(byte[] result, Consumer<Boolean> usable) {
+        @Override public void validateResult(byte[] result, Consumer<Boolean> onValidated) {
             if (!responseValidator.validatesResults()) {
-                usable.accept(true);
+                onValidated.accept(true);
                 return;
             }
             // If the queue is full, the result is served without validation, as the backend has already done the work.
@@ -202,12 +203,12 @@
                     metrics.increment(Count.CONTRACT_RESULTS_BAD);
                     logFault("Backend result", fault);
                 }
-                usable.accept(fault == null || !responseValidator.rejectsInvalidResults());
+                onValidated.accept(fault == null || !responseValidator.rejectsInvalidResults());
             }, e -> {
                 metrics.increment(Count.EXCEPTIONS);
                 Logger.error(e, "Exception while validating a result");
-                usable.accept(!responseValidator.rejectsInvalidResults());
-            }, () -> usable.accept(true));
+                onValidated.accept(!responseValidator.rejectsInvalidResults());
+            }, () -> onValidated.accept(true));
         }
 
         /** Returns the first fault of a result; null if there is none or the step limit is exceeded. */
--- a/src/main/java/badgermux/metrics/Metrics.java
+++ b/src/main/java/badgermux/metrics/Metrics.java
@@ -10,7 +10,11 @@
 
 /** Counters and gauges, in two text formats. Not thread-safe: only the event loop uses them. */
 public final class Metrics {
-    /** The counters. Each is published under its own name in lower case. */
+    /**
+     * The counters. Each is published under its own name in lower case. In these names, FETCHES are attempts, also by their
+     * outcome; DIRECTOR is the discovery service; JUDGED is validated, and APART in the thread pool; CALLS are requests or
+     * commands of the console, whose connections are CALLERS.
+     */
     public enum Count {
         CLIENT_CONNECTIONS, CLIENT_CONNECTIONS_EVICTED, CLIENT_CONNECTIONS_OVER_CAP,
         CLIENT_CONNECTIONS_SILENT, BODIES_OVER_CAP, BAD_MESSAGES, IDS_IN_USE,
@@ -101,8 +105,9 @@
         }
         for (Ending ending : Ending.values()) {
             appendLine(text, ending.label, get(ending));
-            for (int c = 0; c < classNames.size(); c++) {
-                appendLine(text, ending.label + "{class=\"" + classNames.get(c) + "\"}", endingCounts[ending.ordinal()][c]);
+            for (int classIndex = 0; classIndex < classNames.size(); classIndex++) {
+                appendLine(text, ending.label + "{class=\"" + classNames.get(classIndex) + "\"}",
+                    endingCounts[ending.ordinal()][classIndex]);
             }
         }
         textGauges.forEach((name, value) -> appendLine(text, name, value.getAsLong()));
@@ -119,11 +124,11 @@
      */
     public String dump() {
         StringBuilder text = new StringBuilder();
-        for (int c = 0; c < classNames.size(); c++) {
+        for (int classIndex = 0; classIndex < classNames.size(); classIndex++) {
             for (Ending ending : Ending.values()) {
-                text.append(DUMP_PREFIX).append("transactions.").append(classNames.get(c)).append('.')
+                text.append(DUMP_PREFIX).append("transactions.").append(classNames.get(classIndex)).append('.')
                     .append(ending.name().toLowerCase(Locale.ROOT)).append(':')
-                    .append(endingCounts[ending.ordinal()][c]).append("|c\n");
+                    .append(endingCounts[ending.ordinal()][classIndex]).append("|c\n");
             }
         }
         text.append(DUMP_PREFIX).append("sends:").append(get(Count.FETCHES_WRITTEN)).append("|c\n");
--- a/src/main/java/badgermux/operator/Snapshot.java
+++ b/src/main/java/badgermux/operator/Snapshot.java
@@ -17,8 +17,8 @@
 /**
  * Everything that operators have set, as one JSON text: the name and version of the format, a revision that grows with each
  * change, a section for each subsystem, and a SHA-256 checksum of the rest in canonical form (sorted members, no blanks). An
- * unknown section was written by a newer program; the whole snapshot is rejected then, because part of the settings may have
- * another meaning than all of them. Pure: no I/O.
+ * unknown section was written by a newer program; the whole snapshot is rejected then, because the known settings may have
+ * another meaning without the unknown ones. Pure: no I/O.
  */
 public final class Snapshot {
     /** The format version that this program writes, and the newest that it can read. */
--- a/src/main/java/badgermux/sim/SimulatorAdapter.java
+++ b/src/main/java/badgermux/sim/SimulatorAdapter.java
@@ -14,7 +14,7 @@
 
 /**
  * Connects many independent dispatch policies to the simulator. It only translates between the simulator's records and the
- * policies' events and actions.
+ * policies' events and actions. Fields of a record that the policies do not use are read and dropped.
  */
 final class SimulatorAdapter {
     /** The kinds of list updates, by their codes. */
@@ -23,7 +23,7 @@
     /** The states of a listed backend, by their codes. */
     private static final DispatchPolicy.BackendState[] BACKEND_STATES = {DispatchPolicy.BackendState.GONE,
         DispatchPolicy.BackendState.READY, DispatchPolicy.BackendState.DRAINING};
-    /** The outcomes of attempts and probes, by their codes less one. */
+    /** The outcomes of attempts and probes; an outcome's code is its index plus 1. */
     private static final DispatchPolicy.Outcome[] OUTCOMES = Arrays.copyOf(DispatchPolicy.Outcome.values(), 8);
 
     private final FrameCodec frames;
@@ -138,9 +138,9 @@
         int attempt = frames.readU16();
         long backendId = frames.readBackend();
         frames.readU32();
-        boolean isClosed = frames.readU8() != 0;
+        boolean isSettled = frames.readU8() != 0;
         DispatchPolicy.LoadReport report = instance.readLoadReport(frames);
-        instance.runEvent(() -> instance.policy.attemptEnded(now, id, attempt, backendId, outcome, isClosed, report));
+        instance.runEvent(() -> instance.policy.attemptEnded(now, id, attempt, backendId, outcome, isSettled, report));
     }
 
     private void handleClientGone(Instance instance) {
@@ -161,7 +161,7 @@
         instance.runEvent(() -> instance.policy.probeEnded(now, backendId, outcomeIndex == 0, report));
     }
 
-    /** Skips a message from another dispatcher: the policies exchange none. */
+    /** Skips a message from another dispatcher; the policies send each other no messages. */
     private void skipPeerMessage() {
         frames.readU32();
         frames.skip(frames.readU16());
--- a/src/main/java/badgermux/upgrade/HandoverLink.java
+++ b/src/main/java/badgermux/upgrade/HandoverLink.java
@@ -10,8 +10,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * The connection between two processes of one dispatcher, which send each other lines of text. Each side sends a heartbeat
- * ten times a second; a link on which the other side is silent for too long is closed.
+ * The connection between two processes of one dispatcher, which send each other lines of text. The owner of each side sends a
+ * line every {@link #HEARTBEAT_MICROS} as a heartbeat; a link on which the other side is silent for too long is closed.
  */
 public final class HandoverLink extends ChannelInboundHandlerAdapter {
     /** Receives the events of a link, on the event loop. */
@@ -23,9 +23,9 @@
         void onClosed(HandoverLink link);
     }
 
-    /** The interval at which each side sends a line. */
+    /** The interval at which the owner of each side sends a heartbeat. */
     public static final long HEARTBEAT_MICROS = 100_000;
-    /** A silent link is closed after this time: many heartbeats, since the other process may share its core. */
+    /** A silent link is closed after this time: many heartbeats, since the other process may be slowed by sharing a core. */
     public static final long SILENCE_TIMEOUT_MICROS = 1_500_000;
     /** Large enough for a list of thousands of backends. */
     private static final int MAX_LINE_BYTES = 4 << 20;
@@ -55,7 +55,7 @@
         }
     }
 
-    /** Closes the link. */
+    /** Closes the connection, if it was established, and notifies the listener unless it was notified before. */
     public void close() {
         if (context != null) {
             context.close();
--- a/src/main/java/badgermux/upgrade/HandoverReadiness.java
+++ b/src/main/java/badgermux/upgrade/HandoverReadiness.java
@@ -6,8 +6,8 @@
  */
 public final class HandoverReadiness {
     /**
-     * How long after its start this process waits for the previous one's requests, at most. Readiness is due 6 s after the
-     * start.
+     * How long after its start this process waits, at most, until the previous one has answered its open requests. This
+     * process has to be ready within 6 s after its start.
      */
     public static final long MAX_WAIT_MICROS = 4_800_000;
 
@@ -34,7 +34,7 @@
         return servingStarted;
     }
 
-    /** Records that the previous process knows that this one serves: it accepts no requests from here on. */
+    /** Records that the previous process knows that this one serves: the previous one accepts no requests from here on. */
     public void previousHandedOver() {
         previousHandedOver = true;
     }
