--- a/src/bench/capacity/java/badgermux/capacity/CapacityPage.java
+++ b/src/bench/capacity/java/badgermux/capacity/CapacityPage.java
@@ -2,11 +2,15 @@
 
 import java.util.Map;
 
-/** The capacity page: text by hand, and between markers the tables that the program prints. */
+/** The capacity page: text written by hand, with generated tables between pairs of HTML comments as markers. */
 public final class CapacityPage {
     private CapacityPage() { }
 
-    /** The page's text with these tables between their markers; an exception that names a marker that it lacks. */
+    /**
+     * Returns the page's text with the given tables between the markers of their names.
+     *
+     * @throws IllegalArgumentException if the page lacks the markers of a table
+     */
     public static String replaceTables(String page, Map<String, String> tables) {
         String text = page;
         for (Map.Entry<String, String> table : tables.entrySet()) {
@@ -19,7 +23,7 @@
         String from = "<!-- table " + name + " -->\n", to = "<!-- end " + name + " -->\n";
         int start = text.indexOf(from), end = text.indexOf(to);
         if (start < 0 || end < start) {
-            throw new IllegalArgumentException("the page has no place for the table " + name);
+            throw new IllegalArgumentException("the page lacks the markers of table " + name);
         }
         return text.substring(0, start + from.length()) + "\n" + table + "\n" + text.substring(end);
     }
--- a/src/bench/capacity/java/badgermux/capacity/CapacityTables.java
+++ b/src/bench/capacity/java/badgermux/capacity/CapacityTables.java
@@ -8,25 +8,31 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Prints the tables of the capacity page from measured slopes and the target, or writes or checks the page. */
+/**
+ * Generates the tables of the capacity page from the measured slopes and the target. Prints them, or with
+ * {@code --write} puts them into the page, or with {@code --check} compares the page with them.
+ */
 @Command(name = "capacity-tables", mixinStandardHelpOptions = true,
-    description = "Works out the capacity page's tables from measured slopes and the target.")
+    description = "Generates the capacity page's tables from the measured slopes and the target.")
 public final class CapacityTables implements Callable<Integer> {
+    /** Exit status where the page's tables differ from the generated ones. */
     private static final int EXIT_PAGE_DIFFERS = 1;
 
-    @Option(names = "--slopes", defaultValue = "docs/capacity/slopes.json", description = "Measured slopes (${DEFAULT-VALUE}).")
+    @Option(names = "--slopes", defaultValue = "docs/capacity/slopes.json",
+        description = "File of measured slopes (${DEFAULT-VALUE}).")
     private Path slopesFile;
 
-    @Option(names = "--target", defaultValue = "docs/capacity/target.json", description = "The target (${DEFAULT-VALUE}).")
+    @Option(names = "--target", defaultValue = "docs/capacity/target.json",
+        description = "File of the target (${DEFAULT-VALUE}).")
     private Path targetFile;
 
-    @Option(names = "--page", defaultValue = "docs/CAPACITY.md", description = "The page (${DEFAULT-VALUE}).")
+    @Option(names = "--page", defaultValue = "docs/CAPACITY.md", description = "The capacity page (${DEFAULT-VALUE}).")
     private Path pageFile;
 
     @Option(names = "--write", description = "Write the tables into the page.")
     private boolean write;
 
-    @Option(names = "--check", description = "End with status 1 where the page's tables differ.")
+    @Option(names = "--check", description = "Exit with status 1 if the page's tables differ.")
     private boolean check;
 
     public static void main(String[] args) {
--- a/src/bench/capacity/java/badgermux/capacity/Demand.java
+++ b/src/bench/capacity/java/badgermux/capacity/Demand.java
@@ -1,32 +1,36 @@
 package badgermux.capacity;
 
 /**
- * What one role of one dispatcher needs in a situation.
+ * The resources that one role of one dispatcher needs in a situation.
  *
- * @param role        the part of the program, or of a stand-in
- * @param kind        what it is counted as
- * @param situation   what happens
- * @param dispatchers how many dispatchers there are
- * @param stateBytes  live heap that it holds
- * @param messagesPerSecond    messages a second, both ways
- * @param bytesPerSecond       bytes a second, both ways
- * @param coreShare   the part of one core, idle time of the process left out
- * @param mechanism   the classes that carry it, separated by commas; {@link #NO_MECHANISM} where nothing does
+ * @param role              a component of the program, or a stub outside it; its name on the page
+ * @param kind              how the demand is accounted
+ * @param situation         the situation for which it was computed
+ * @param dispatchers       number of dispatchers that share the load
+ * @param stateBytes        live heap that the role occupies
+ * @param messagesPerSecond messages a second in both directions
+ * @param bytesPerSecond    bytes a second in both directions
+ * @param coreShare         share of one core; the processor time of an idle process counts only in its own role
+ * @param mechanism         names of the classes that do this work, separated by commas; {@link #NO_MECHANISM} if no
+ *                          class does it
  */
-public record Demand(String role, Kind kind, Situation situation, int dispatchers, double stateBytes, double messagesPerSecond,
-        double bytesPerSecond, double coreShare, String mechanism) {
-    /** Says that no class carries a demand. */
+public record Demand(String role, Kind kind, Situation situation, int dispatchers, double stateBytes,
+        double messagesPerSecond, double bytesPerSecond, double coreShare, String mechanism) {
+    /** The {@link #mechanism} of a demand that no class of the program serves. */
     public static final String NO_MECHANISM = "none";
 
-    /** What a demand is counted as: only control has a budget. */
+    /**
+     * How a demand is accounted: CONTROL has a budget, TRAFFIC of clients' requests has none, OUTSIDE arises at stubs
+     * outside the program.
+     */
     public enum Kind { CONTROL, TRAFFIC, OUTSIDE }
 
-    /** Whether nothing carries it. */
+    /** Whether no class of the program serves this demand. */
     public boolean hasNoMechanism() {
         return mechanism.equals(NO_MECHANISM);
     }
 
-    /** The largest of bytes, processor time and state against a dispatcher's budget. */
+    /** The largest of the three ratios of memory, bytes and processor time to a dispatcher's budget. */
     public double budgetRatio(Target.Budget budget) {
         double memory = stateBytes / budget.memoryBytes();
         return Math.max(memory, Math.max(bytesPerSecond / budget.bytesPerSecond(), coreShare / budget.coreShare()));
--- a/src/bench/capacity/java/badgermux/capacity/Situation.java
+++ b/src/bench/capacity/java/badgermux/capacity/Situation.java
@@ -1,20 +1,23 @@
 package badgermux.capacity;
 
-/** What happens while a demand is worked out. */
+/** A situation for which demands are computed. */
 public enum Situation {
-    /** The mean of a day; tasks running as in the target. */
+    /** The average load of a day, with the target's number of running tasks. */
     AVERAGE_DAY("target"),
-    /** The peak of task starts. */
+    /** The peak rate of task starts. */
     PEAK_STARTS("peak"),
-    /** One machine fails, beside the mean of a day. */
+    /** One machine fails under the average load. */
     MACHINE_FAILURE("one machine"),
-    /** A rack fails, beside the mean of a day. */
+    /** A rack fails under the average load. */
     RACK_FAILURE("rack"),
-    /** A zone fails, beside the mean of a day. */
+    /** A zone fails under the average load. */
     ZONE_FAILURE("zone"),
-    /** A region is cut off for ten minutes: seen from a dispatcher outside, to which discovery tells its workers gone. */
+    /**
+     * A region is cut off for ten minutes, as seen by a dispatcher outside that region: discovery removes the region's
+     * backends from the list.
+     */
     REGION_CUT_OFF("region cut off"),
-    /** All dispatchers are restarted at once, beside the mean of a day. */
+    /** All dispatchers restart at once under the average load. */
     FULL_RESTART("all restarted");
 
     private final String label;
@@ -23,7 +26,7 @@
         this.label = label;
     }
 
-    /** Its name on the page. */
+    /** The name of the situation on the page. */
     public String label() {
         return label;
     }
--- a/src/bench/capacity/java/badgermux/capacity/Slope.java
+++ b/src/bench/capacity/java/badgermux/capacity/Slope.java
@@ -3,41 +3,44 @@
 import java.util.List;
 
 /**
- * A cost that was measured at several sizes, and the line {@code base + slope x size} through them.
+ * A cost measured at several sizes, with the line {@code base + slope x size} fitted through the measurements.
  *
- * @param name       its name in the model
- * @param what       what was measured
- * @param unit       the unit of a cost
- * @param per        what a size counts
- * @param run        the name of the run that gave it
- * @param points     the sizes at which it was measured, in rising order; at least one
- * @param base       the cost at size 0 by the fitted line, in {@code unit}
- * @param slope      what one more of the size adds by the fitted line, in {@code unit}
- * @param errorShare the fit's error: the root mean square of (fitted - measured) / measured
+ * @param name       name by which the model looks it up
+ * @param what       description of the cost, for the page
+ * @param unit       unit of the cost
+ * @param per        what the size counts, such as workers or tenants
+ * @param run        name of the run that measured it
+ * @param points     the measurements in ascending order of size; at least one
+ * @param base       cost at size 0 on the fitted line, in {@code unit}
+ * @param slope      cost of each unit of size on the fitted line, in {@code unit}
+ * @param errorShare error of the fit: the root mean square of (fitted - measured) / measured
  */
 public record Slope(String name, String what, String unit, String per, String run, List<Point> points, double base,
         double slope, double errorShare) {
 
     /**
-     * One size: the rounds' median, least and greatest cost.
+     * The measurements at one size.
      *
-     * @param size   how many of {@link Slope#per}
-     * @param rounds how many rounds were measured
+     * @param size   number of what {@link Slope#per} names
+     * @param rounds number of rounds measured
+     * @param median median cost of the rounds
+     * @param least  lowest cost of the rounds
+     * @param most   highest cost of the rounds
      */
     public record Point(double size, int rounds, double median, double least, double most) { }
 
-    /** Whether this size was measured itself. */
+    /** Whether this exact size was measured. */
     public boolean isMeasuredAt(double size) {
         return points.stream().anyMatch(point -> point.size() == size);
     }
 
-    /** The cost at a size: as measured where that size was measured, else by the fitted line and never below 0. */
+    /** Returns the measured median at a measured size; at other sizes the fitted cost, but not less than 0. */
     public double costAt(double size) {
         return points.stream().filter(point -> point.size() == size).mapToDouble(Point::median).findFirst()
             .orElse(Math.max(0, fittedCostAt(size)));
     }
 
-    /** The cost at a size by the fitted line. */
+    /** Returns the cost at a size on the fitted line; it may be negative. */
     public double fittedCostAt(double size) {
         return base + slope * size;
     }
--- a/src/bench/capacity/java/badgermux/capacity/Slopes.java
+++ b/src/bench/capacity/java/badgermux/capacity/Slopes.java
@@ -12,10 +12,10 @@
 import java.util.stream.Collectors;
 
 /**
- * All measured slopes, and the runs that gave them, as {@code docs/capacity/slopes.json} holds them.
+ * All measured slopes and the runs that measured them: the contents of {@code docs/capacity/slopes.json}.
  *
- * @param runs   the runs, by their names
- * @param slopes the slopes
+ * @param runs   the runs, each with a different name
+ * @param slopes the slopes, each with a different name
  */
 public record Slopes(List<Run> runs, List<Slope> slopes) {
     private static final Gson GSON = new GsonBuilder().setPrettyPrinting().disableHtmlEscaping().create();
@@ -23,45 +23,52 @@
     /**
      * One run of a measuring program.
      *
-     * @param name    its name in {@link Slope#run}
-     * @param command what was run
-     * @param date    when it ended, as an ISO time in UTC
-     * @param machine cores, Java version and the machine's load while it ran
-     * @param how     what was measured with, and what the figures leave out
+     * @param name    the name to which {@link Slope#run} refers
+     * @param command the command line
+     * @param date    end of the run, as an ISO 8601 time in UTC
+     * @param machine number of cores, Java version and load average of the machine during the run
+     * @param how     how the figures were measured, and what they leave out
      */
     public record Run(String name, String command, String date, String machine, String how) { }
 
-    /** Reads a file; a file that is missing is empty. */
+    /** Reads a JSON file. A missing file reads as no runs and no slopes; a file without one of the two arrays is an error. */
     public static Slopes read(Path file) throws IOException {
         if (!Files.exists(file)) {
             return new Slopes(List.of(), List.of());
         }
         Slopes read = GSON.fromJson(Files.readString(file), Slopes.class);
         if (read == null || read.runs == null || read.slopes == null) {
-            throw new JsonParseException(file + " has no runs or no slopes");
+            throw new JsonParseException(file + " lacks runs or slopes");
         }
         return read;
     }
 
-    /** Writes a file. */
+    /** Writes a JSON file. */
     public void write(Path file) throws IOException {
         Files.writeString(file, GSON.toJson(this) + "\n");
     }
 
-    /** These, with a run and what it measured in place of what that run, or another of the same costs, gave before. */
+    /**
+     * Returns a copy with a run and the slopes that it measured. They replace an earlier run of that name with its slopes,
+     * and slopes of the same names from other runs.
+     */
     public Slopes withRun(Run run, List<Slope> measured) {
         List<Run> newRuns = new ArrayList<>(runs.stream().filter(old -> !old.name().equals(run.name())).toList());
         newRuns.add(run);
-        Set<String> anew = measured.stream().map(Slope::name).collect(Collectors.toSet());
+        Set<String> measuredNames = measured.stream().map(Slope::name).collect(Collectors.toSet());
         List<Slope> newSlopes = new ArrayList<>(slopes.stream()
-            .filter(old -> !old.run().equals(run.name()) && !anew.contains(old.name())).toList());
+            .filter(old -> !old.run().equals(run.name()) && !measuredNames.contains(old.name())).toList());
         newSlopes.addAll(measured);
         return new Slopes(newRuns, newSlopes);
     }
 
-    /** The slope of a name; an exception that names it where there is none. */
+    /**
+     * Returns the slope of a name.
+     *
+     * @throws IllegalArgumentException if there is no slope of that name
+     */
     public Slope get(String name) {
         return slopes.stream().filter(slope -> slope.name().equals(name)).findFirst()
-            .orElseThrow(() -> new IllegalArgumentException("no slope " + name + " was measured"));
+            .orElseThrow(() -> new IllegalArgumentException("slope " + name + " has not been measured"));
     }
 }
--- a/src/bench/capacity/java/badgermux/capacity/Tables.java
+++ b/src/bench/capacity/java/badgermux/capacity/Tables.java
@@ -8,7 +8,10 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 
-/** The page's tables as Markdown, each by the name of its place on the page. The same input gives the same text. */
+/**
+ * Renders the tables of the capacity page as Markdown, by the names of their markers on the page. The output depends on
+ * the input only.
+ */
 public final class Tables {
     private static final String[] BYTE_UNITS = {"B", "KB", "MB", "GB"};
 
@@ -22,11 +25,11 @@
         model = new DemandModel(slopes, target);
     }
 
-    /** All tables in their order. */
+    /** Returns all tables by name, in the order of the page. */
     public Map<String, String> renderAll() {
         Map<String, String> tables = new LinkedHashMap<>();
         tables.put("runs", runsTable());
-        tables.put("slopes", slopes());
+        tables.put("slopes", slopesTable());
         tables.put("figures", figuresTable());
         for (int dispatchers : target.dispatchers()) {
             tables.put("demand-" + dispatchers, demandsTable(dispatchers));
@@ -45,22 +48,22 @@
         return markdownTable(List.of("run", "command", "ended", "machine", "how"), rows);
     }
 
-    private String slopes() {
+    private String slopesTable() {
         List<List<String>> rows = new ArrayList<>();
-        double workers = target.get("workers");
+        double backends = target.get("workers");
         for (Slope slope : slopes.slopes()) {
             String fit = slope.points().size() < 2 ? "one size only" : formatPercent(slope.errorShare());
-            boolean byWorkers = slope.per().equals("worker") && slope.isMeasuredAt(workers);
+            boolean atTarget = slope.per().equals("worker") && slope.isMeasuredAt(backends);
             rows.add(List.of('`' + slope.name() + '`', slope.what(), formatNumber(slope.base()) + ' ' + slope.unit(),
-                formatNumber(slope.slope()) + " / " + slope.per(), fit, byWorkers ? formatMeasurement(slope, workers) : "",
-                byWorkers ? formatNumber(slope.fittedCostAt(workers)) : "", formatSizes(slope), slope.run()));
+                formatNumber(slope.slope()) + " / " + slope.per(), fit, atTarget ? formatMeasurement(slope, backends) : "",
+                atTarget ? formatNumber(slope.fittedCostAt(backends)) : "", formatSizes(slope), slope.run()));
         }
-        return markdownTable(List.of("name", "what", "base", "slope", "fit's error", "measured at 2,600: median (least to most)", "fitted there",
-            "sizes", "run"), rows);
+        return markdownTable(List.of("name", "what", "base", "slope", "fit's error", "measured at 2,600: median (least to most)",
+            "fitted there", "sizes", "run"), rows);
     }
 
     private static String formatMeasurement(Slope slope, double size) {
-        Slope.Point point = slope.points().stream().filter(p -> p.size() == size).findFirst().orElseThrow();
+        Slope.Point point = slope.points().stream().filter(measured -> measured.size() == size).findFirst().orElseThrow();
         return formatNumber(point.median()) + " (" + formatNumber(point.least()) + " to " + formatNumber(point.most()) + ')';
     }
 
@@ -72,7 +75,8 @@
 
     private String figuresTable() {
         List<List<String>> rows = new ArrayList<>();
-        rows.add(List.of("dispatchers", target.dispatchers().stream().map(d -> formatNumber(d)).collect(Collectors.joining(", ")), "guess"));
+        rows.add(List.of("dispatchers", target.dispatchers().stream().map(count -> formatNumber(count))
+            .collect(Collectors.joining(", ")), "guess"));
         for (Target.Value value : target.values()) {
             rows.add(List.of(value.name(), formatNumber(value.value()) + ' ' + value.unit(), value.from()));
         }
@@ -83,61 +87,70 @@
         List<List<String>> rows = new ArrayList<>();
         List<Demand> demands = new ArrayList<>(model.demands(dispatchers));
         List<String> roles = demands.stream().map(Demand::role).distinct().toList();
-        demands.sort(Comparator.comparingInt((Demand d) -> roles.indexOf(d.role())).thenComparing(Demand::situation));
-        for (Demand d : demands) {
-            boolean outside = d.kind() == Demand.Kind.OUTSIDE;
-            rows.add(List.of(d.role(), d.situation().label(), formatBytes(d.stateBytes()), formatNumber(d.messagesPerSecond()), formatBytes(d.bytesPerSecond()) + "/s",
-                formatPercent(d.coreShare()), outside ? "-" : formatRatio(d.stateBytes() / target.budget().memoryBytes()),
-                outside ? "-" : formatRatio(d.bytesPerSecond() / target.budget().bytesPerSecond()),
-                outside ? "-" : formatRatio(d.coreShare() / target.budget().coreShare()), d.kind().name().toLowerCase(Locale.ROOT),
-                formatMechanism(d.mechanism())));
+        demands.sort(Comparator.comparingInt((Demand demand) -> roles.indexOf(demand.role())).thenComparing(Demand::situation));
+        for (Demand demand : demands) {
+            boolean outside = demand.kind() == Demand.Kind.OUTSIDE;
+            rows.add(List.of(demand.role(), demand.situation().label(), formatBytes(demand.stateBytes()),
+                formatNumber(demand.messagesPerSecond()), formatBytes(demand.bytesPerSecond()) + "/s",
+                formatPercent(demand.coreShare()),
+                outside ? "-" : formatRatio(demand.stateBytes() / target.budget().memoryBytes()),
+                outside ? "-" : formatRatio(demand.bytesPerSecond() / target.budget().bytesPerSecond()),
+                outside ? "-" : formatRatio(demand.coreShare() / target.budget().coreShare()),
+                demand.kind().name().toLowerCase(Locale.ROOT), formatMechanism(demand.mechanism())));
         }
-        return markdownTable(List.of("role", "situation", "state", "messages/s", "bytes", "core", "memory ratio", "bytes ratio", "core ratio",
-            "counted as", "mechanism"), rows);
+        return markdownTable(List.of("role", "situation", "state", "messages/s", "bytes", "core", "memory ratio",
+            "bytes ratio", "core ratio", "counted as", "mechanism"), rows);
     }
 
     private String timesTable() {
-        double change = target.budget().changeSeconds(), urgent = target.budget().urgentSeconds();
+        double changeSeconds = target.budget().changeSeconds();
+        double urgentSeconds = target.budget().urgentSeconds();
         List<List<String>> rows = new ArrayList<>();
-        rows.add(List.of("a change of configuration in force everywhere", "no bound: nothing carries it", formatSeconds(change), "no bound",
-            Demand.NO_MECHANISM));
-        rows.add(List.of("the same by hand: processor time of a start on each dispatcher", formatSeconds(model.startCpuSeconds()), formatSeconds(change),
-            formatRatio(model.startCpuSeconds() / change), Demand.NO_MECHANISM));
+        rows.add(List.of("a change of configuration in force everywhere", "no bound: nothing carries it",
+            formatSeconds(changeSeconds), "no bound", Demand.NO_MECHANISM));
+        rows.add(List.of("the same by hand: processor time of a start on each dispatcher",
+            formatSeconds(model.startCpuSeconds()), formatSeconds(changeSeconds),
+            formatRatio(model.startCpuSeconds() / changeSeconds), Demand.NO_MECHANISM));
         rows.add(List.of("slots of the widest gang, against those of the one worker that a job may have",
             formatNumber(target.get("gangMost")) + " slots", formatNumber(model.slotsPerBackend()) + " slots on average",
             formatRatio(target.get("gangMost") / model.slotsPerBackend()), Demand.NO_MECHANISM));
-        for (Situation situation : List.of(Situation.MACHINE_FAILURE, Situation.RACK_FAILURE, Situation.ZONE_FAILURE, Situation.REGION_CUT_OFF)) {
+        for (Situation situation : List.of(Situation.MACHINE_FAILURE, Situation.RACK_FAILURE, Situation.ZONE_FAILURE,
+                Situation.REGION_CUT_OFF)) {
             rows.add(List.of("urgent work that waits behind the news of the loss: " + situation.label() + " ("
-                + formatNumber(model.lostBackends(situation)) + " of " + formatNumber(target.get("workers")) + " workers, one by one)", formatSeconds(model.lossCpuSeconds(situation)), formatSeconds(urgent),
-                formatRatio(model.lossCpuSeconds(situation) / urgent), "`DefaultDispatchPolicy`"));
+                + formatNumber(model.lostBackends(situation)) + " of " + formatNumber(target.get("workers"))
+                + " workers, one by one)",
+                formatSeconds(model.lossCpuSeconds(situation)), formatSeconds(urgentSeconds),
+                formatRatio(model.lossCpuSeconds(situation) / urgentSeconds), "`DefaultDispatchPolicy`"));
         }
-        double window = target.get("windowSeconds");
-        rows.add(List.of("a whole list at the budget's rate", formatSeconds(model.listTransferSeconds(false)), formatSeconds(window),
-            formatRatio(model.listTransferSeconds(false) / window), "`DiscoveryClient`"));
-        rows.add(List.of("a whole list, indented, at the budget's rate", formatSeconds(model.listTransferSeconds(true)), formatSeconds(window),
-            formatRatio(model.listTransferSeconds(true) / window), "`DiscoveryClient`"));
+        double windowSeconds = target.get("windowSeconds");
+        rows.add(List.of("a whole list at the budget's rate", formatSeconds(model.listTransferSeconds(false)),
+            formatSeconds(windowSeconds), formatRatio(model.listTransferSeconds(false) / windowSeconds), "`DiscoveryClient`"));
+        rows.add(List.of("a whole list, indented, at the budget's rate", formatSeconds(model.listTransferSeconds(true)),
+            formatSeconds(windowSeconds), formatRatio(model.listTransferSeconds(true) / windowSeconds), "`DiscoveryClient`"));
         return markdownTable(List.of("what", "takes", "allowed", "ratio", "mechanism"), rows);
     }
 
-    /** Roles without a mechanism first, then by ratio; each once, in its worst situation. */
+    /** Ranks each role once, in the situation of its highest ratio: roles without a mechanism first, then by ratio. */
     private String rankingTable() {
-        List<Demand> all = target.dispatchers().stream().flatMap(d -> model.demands(d).stream())
-            .filter(d -> d.kind() != Demand.Kind.OUTSIDE && !d.mechanism().equals("sum")).toList();
+        List<Demand> all = target.dispatchers().stream().flatMap(count -> model.demands(count).stream())
+            .filter(demand -> demand.kind() != Demand.Kind.OUTSIDE && !demand.mechanism().equals("sum")).toList();
         List<Demand> worst = new ArrayList<>();
         for (String role : all.stream().map(Demand::role).distinct().toList()) {
-            worst.add(highestRatio(all.stream().filter(d -> d.role().equals(role)).toList()));
+            worst.add(highestRatio(all.stream().filter(demand -> demand.role().equals(role)).toList()));
         }
-        worst.sort(Comparator.comparing((Demand d) -> !d.hasNoMechanism())
-            .thenComparing(Comparator.comparingDouble((Demand d) -> d.budgetRatio(target.budget())).reversed()));
+        worst.sort(Comparator.comparing((Demand demand) -> !demand.hasNoMechanism())
+            .thenComparing(Comparator.comparingDouble((Demand demand) -> demand.budgetRatio(target.budget())).reversed()));
         List<List<String>> rows = new ArrayList<>();
-        for (Demand d : worst) {
-            List<String> row = new ArrayList<>(List.of(String.valueOf(rows.size() + 1), d.role(), d.situation().label(), formatDominantResource(d)));
+        for (Demand demand : worst) {
+            List<String> row = new ArrayList<>(List.of(String.valueOf(rows.size() + 1), demand.role(),
+                demand.situation().label(), formatDominantResource(demand)));
             for (int dispatchers : target.dispatchers()) {
-                row.add(formatRatio(highestRatio(all.stream().filter(o -> o.role().equals(d.role()) && o.dispatchers() == dispatchers).toList())
+                row.add(formatRatio(highestRatio(all.stream()
+                    .filter(other -> other.role().equals(demand.role()) && other.dispatchers() == dispatchers).toList())
                     .budgetRatio(target.budget())));
             }
-            row.add(d.kind().name().toLowerCase(Locale.ROOT));
-            row.add(formatMechanism(d.mechanism()));
+            row.add(demand.kind().name().toLowerCase(Locale.ROOT));
+            row.add(formatMechanism(demand.mechanism()));
             rows.add(row);
         }
         List<String> head = new ArrayList<>(List.of("", "role", "worst in", "by"));
@@ -146,29 +159,36 @@
         return markdownTable(head, rows);
     }
 
-    private Demand highestRatio(List<Demand> of) {
-        return of.stream().max(Comparator.comparingDouble(d -> d.budgetRatio(target.budget()))).orElseThrow();
+    /** Returns the demand with the highest ratio to the budget. */
+    private Demand highestRatio(List<Demand> demands) {
+        return demands.stream().max(Comparator.comparingDouble(demand -> demand.budgetRatio(target.budget()))).orElseThrow();
     }
 
-    private String formatDominantResource(Demand d) {
+    /** Names the resource that determines a demand's ratio to the budget. */
+    private String formatDominantResource(Demand demand) {
         Target.Budget budget = target.budget();
-        double ratio = d.budgetRatio(budget);
-        if (ratio == d.bytesPerSecond() / budget.bytesPerSecond()) {
-            return "bytes: " + formatBytes(d.bytesPerSecond()) + "/s of " + formatBytes(budget.bytesPerSecond()) + "/s";
+        double ratio = demand.budgetRatio(budget);
+        if (ratio == demand.bytesPerSecond() / budget.bytesPerSecond()) {
+            return "bytes: " + formatBytes(demand.bytesPerSecond()) + "/s of "
+                + formatBytes(budget.bytesPerSecond()) + "/s";
         }
-        if (ratio == d.coreShare() / budget.coreShare()) {
-            return "processor: " + formatPercent(d.coreShare()) + " of " + formatPercent(budget.coreShare()) + " of a core";
+        if (ratio == demand.coreShare() / budget.coreShare()) {
+            return "processor: " + formatPercent(demand.coreShare()) + " of "
+                + formatPercent(budget.coreShare()) + " of a core";
         }
-        return "memory: " + formatBytes(d.stateBytes()) + " of " + formatBytes(budget.memoryBytes());
+        return "memory: " + formatBytes(demand.stateBytes()) + " of " + formatBytes(budget.memoryBytes());
     }
 
     private String thresholdsTable() {
         List<List<String>> rows = new ArrayList<>();
         rows.add(List.of("requests a second of one dispatcher from which on its probes alone take 8 KB a second",
             formatNumber(model.probeLimitedRequestsPerSecond())));
-        rows.add(List.of("probes for a request at 2,600 workers, one request each 20 ms", formatNumber(model.probesPerRequest())));
-        rows.add(List.of("requests a second over all, were every job of a day a gang of 64", formatNumber(model.averageStartsPerSecond())));
-        rows.add(List.of("changed entries of the list a second, on an ordinary day", formatNumber(model.averageEntriesPerSecond())));
+        rows.add(List.of("probes for a request at 2,600 workers, one request each 20 ms",
+            formatNumber(model.probesPerRequest())));
+        rows.add(List.of("requests a second over all, were every job of a day a gang of 64",
+            formatNumber(model.averageStartsPerSecond())));
+        rows.add(List.of("changed entries of the list a second, on an ordinary day",
+            formatNumber(model.averageEntriesPerSecond())));
         for (int dispatchers : target.dispatchers()) {
             rows.add(List.of("requests a second of one of " + formatNumber(dispatchers) + " dispatchers at the peak",
                 formatNumber(target.get("startsAtPeak") / dispatchers)));
@@ -179,8 +199,9 @@
         return markdownTable(List.of("what", "figure"), rows);
     }
 
-    // ---- Text
+    // ---- Formatting
 
+    /** Formats names of classes as code; other mechanisms stay as they are. */
     private static String formatMechanism(String mechanism) {
         if (mechanism.equals(Demand.NO_MECHANISM) || mechanism.equals("sum") || mechanism.startsWith("outside")) {
             return mechanism;
@@ -222,7 +243,7 @@
         return formatNumber(scaled) + ' ' + BYTE_UNITS[unit];
     }
 
-    /** Three digits that tell, and thousands set apart. */
+    /** Formats with three significant digits, up to six decimals; from 100 on as an integer with thousands separators. */
     private static String formatNumber(double value) {
         if (value == 0) {
             return "0";
--- a/src/bench/capacity/java/badgermux/capacity/Target.java
+++ b/src/bench/capacity/java/badgermux/capacity/Target.java
@@ -8,29 +8,33 @@
 import java.util.List;
 
 /**
- * The target and what is assumed beside it, as {@code docs/capacity/target.json} holds them.
+ * The capacity target and further assumptions: the contents of {@code docs/capacity/target.json}.
  *
- * @param budget      what one dispatcher may spend for control
- * @param dispatchers the numbers of dispatchers that are worked out; all guessed
+ * @param budget      what one dispatcher may spend on control
+ * @param dispatchers numbers of dispatchers for which demands are computed; all of them are guesses
  * @param values      all other figures
  */
 public record Target(Budget budget, List<Integer> dispatchers, List<Value> values) {
     /**
-     * What one dispatcher may spend for control, and the two times that are promised.
+     * What one dispatcher may spend on control, and the two response times that the target promises.
      *
-     * @param coreShare      the part of one core
+     * @param coreShare      share of one core
      * @param memoryBytes    resident memory
-     * @param bytesPerSecond bytes in both directions
-     * @param changeSeconds  until a change of configuration is in force everywhere
-     * @param urgentSeconds  until urgent work starts
+     * @param bytesPerSecond bytes a second in both directions together
+     * @param changeSeconds  time until a change of configuration is in force on all dispatchers
+     * @param urgentSeconds  time until urgent work starts
      */
     public record Budget(double coreShare, double memoryBytes, double bytesPerSecond, double changeSeconds,
             double urgentSeconds) { }
 
-    /** A figure: {@code from} says whether the target names it, or a page, or whether it is a guess. */
+    /**
+     * A named figure.
+     *
+     * @param from source of the figure: the target, a page, or a guess
+     */
     public record Value(String name, double value, String unit, String from) { }
 
-    /** Reads a file. */
+    /** Reads a JSON file; a file without budget, dispatchers or values is an error. */
     public static Target read(Path file) throws IOException {
         Target read = new Gson().fromJson(Files.readString(file), Target.class);
         if (read == null || read.budget == null || read.dispatchers == null || read.values == null) {
@@ -39,7 +43,11 @@
         return read;
     }
 
-    /** The figure of a name; an exception that names it where there is none. */
+    /**
+     * Returns the figure of a name.
+     *
+     * @throws IllegalArgumentException if there is no figure of that name
+     */
     public double get(String name) {
         return values.stream().filter(value -> value.name().equals(name)).mapToDouble(Value::value).findFirst()
             .orElseThrow(() -> new IllegalArgumentException("the target has no figure " + name));
--- a/src/bench/capacity/java/badgermux/capacity/package-info.java
+++ b/src/bench/capacity/java/badgermux/capacity/package-info.java
@@ -1,2 +1,2 @@
-/** The capacity page: measured slopes, the target, and the tables that are worked out from both. Not in the jar. */
+/** The capacity page: measured slopes, the target, and the tables computed from both. Not packaged in the jar. */
 package badgermux.capacity;
--- a/src/test/java/badgermux/capacity/CapacityPageTest.java
+++ b/src/test/java/badgermux/capacity/CapacityPageTest.java
@@ -17,7 +17,10 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The capacity page says what the program works out from the committed files, and names classes that there are. */
+/**
+ * Compares the capacity page with the tables generated from the committed slopes and target, so that no figure on it goes
+ * stale, and checks that the classes it names exist.
+ */
 class CapacityPageTest {
     private static final Path PAGE = Path.of("docs", "CAPACITY.md");
     private static final Path FOLDER = Path.of("docs", "capacity");
@@ -34,14 +37,14 @@
     @Test void pageTablesMatchGeneratedTables() throws IOException {
         String page = Files.readString(PAGE);
         assertEquals(CapacityPage.replaceTables(page, new Tables(slopes(), target()).renderAll()), page,
-            "write them anew: src/bench/run badgermux.capacity.CapacityTables --write");
+            "the tables are out of date; regenerate them with src/bench/run badgermux.capacity.CapacityTables --write");
     }
 
     @Test void changedFigureIsDetected() throws IOException {
         String page = Files.readString(PAGE);
-        String spoilt = page.replaceFirst("\\| workers \\| 2,600 workers", "| workers | 2,601 workers");
-        assertTrue(!spoilt.equals(page), "the page shows the number of workers");
-        assertEquals(page, CapacityPage.replaceTables(spoilt, new Tables(slopes(), target()).renderAll()));
+        String changed = page.replaceFirst("\\| workers \\| 2,600 workers", "| workers | 2,601 workers");
+        assertTrue(!changed.equals(page), "the page does not show the expected number of workers");
+        assertEquals(page, CapacityPage.replaceTables(changed, new Tables(slopes(), target()).renderAll()));
     }
 
     @Test void missingTableMarkerIsRejected() {
@@ -51,14 +54,15 @@
     @Test void slopesNameTheirRunAndMatchTheirPoints() throws IOException {
         Set<String> runs = slopes().runs().stream().map(Slopes.Run::name).collect(Collectors.toSet());
         for (Slope slope : slopes().slopes()) {
-            assertTrue(runs.contains(slope.run()), slope.name() + " has no run");
+            assertTrue(runs.contains(slope.run()), slope.name() + " names an unknown run");
             double squares = 0;
             for (Slope.Point point : slope.points()) {
                 assertTrue(point.least() <= point.median() && point.median() <= point.most(), slope.name());
                 squares += Math.pow(slope.fittedCostAt(point.size()) / point.median() - 1, 2);
             }
             double error = Math.sqrt(squares / slope.points().size());
-            assertEquals(slope.errorShare(), error, 0.002 + 0.01 * error, slope.name() + " has another error");
+            assertEquals(slope.errorShare(), error, 0.002 + 0.01 * error,
+                slope.name() + ": errorShare does not match the points");
         }
     }
 
@@ -81,24 +85,26 @@
     @Test void largerFailuresCostMoreCpu() throws IOException {
         List<Demand> demands = new DemandModel(slopes(), target()).demands(120).stream()
             .filter(demand -> demand.role().equals("Decision module")).toList();
-        List<Situation> rising = List.of(Situation.AVERAGE_DAY, Situation.MACHINE_FAILURE, Situation.RACK_FAILURE, Situation.ZONE_FAILURE, Situation.REGION_CUT_OFF);
-        double before = 0;
-        for (Situation situation : rising) {
-            double core = demands.stream().filter(d -> d.situation() == situation).findFirst().orElseThrow().coreShare();
-            assertTrue(core > before, situation + " costs " + core + " after " + before);
-            before = core;
+        List<Situation> bySize = List.of(Situation.AVERAGE_DAY, Situation.MACHINE_FAILURE, Situation.RACK_FAILURE,
+            Situation.ZONE_FAILURE, Situation.REGION_CUT_OFF);
+        double previous = 0;
+        for (Situation situation : bySize) {
+            double core = demands.stream().filter(demand -> demand.situation() == situation)
+                .findFirst().orElseThrow().coreShare();
+            assertTrue(core > previous, situation + " needs a core share of " + core + ", the smaller failure " + previous);
+            previous = core;
         }
     }
 
     @Test void classesNamedOnPageExist() throws IOException {
-        Set<String> sources;
+        Set<String> classes;
         try (Stream<Path> files = Files.walk(Path.of("src"))) {
-            sources = files.map(file -> file.getFileName().toString()).filter(name -> name.endsWith(".java"))
+            classes = files.map(file -> file.getFileName().toString()).filter(name -> name.endsWith(".java"))
                 .map(name -> name.replace(".java", "")).collect(Collectors.toSet());
         }
         Set<String> unknown = new TreeSet<>();
         for (Matcher name = CLASS_NAME.matcher(Files.readString(PAGE)); name.find();) {
-            if (!sources.contains(name.group(1))) {
+            if (!classes.contains(name.group(1))) {
                 unknown.add(name.group(1));
             }
         }
