--- a/src/bench/java/badgermux/capacity/MeasureProcess.java
+++ b/src/bench/java/badgermux/capacity/MeasureProcess.java
@@ -19,39 +19,49 @@
 import picocli.CommandLine.Option;
 
 /**
- * Measures what a whole dispatcher of the built jar costs on loopback sockets: processor time, memory and log, with the
- * Java options of the deploy file. Writes the slopes to the committed JSON file. The jar has to be built.
+ * Measures the cost of a whole dispatcher process on loopback sockets: processor time, memory and log volume, with the
+ * Java options of deploy/balancer.toml. Writes the slopes to the committed JSON file. The jar has to be built before.
  */
 @Command(name = "measure-process", mixinStandardHelpOptions = true,
-    description = "Measures processes of the built jar: start, idle, lists, requests, probes, connections, reloads.")
+    description = "Measures processes of the built jar: start, idle time, lists, requests, probes, connections, reloads.")
 public final class MeasureProcess implements Callable<Integer> {
+    /** Name of the run in the file of slopes; a run of one part adds the part's name. */
     private static final String RUN = "process";
     private static final int[] BACKEND_COUNTS = {8, 60, 600, 2600, 5200, 10_000};
     private static final int[] TENANT_COUNTS = {3, 190, 600};
-    /** What one run measures. */
+    /** The measurements that a run makes. */
     enum Part { ALL, LISTS, SETTINGS, REQUESTS, CONNECTIONS, IDLE }
 
-    /** How many requests a process has served before it is measured: its code is interpreted at first. */
+    /** Numbers of requests that a process has served before it is measured: its code is interpreted at first. */
     private static final int[] SERVED_COUNTS = {300, 3000, 20_000};
-    /** Seconds after its start at which an idle process is watched. */
+    /** Ages at which an idle process is measured. */
     private static final int[] AGES_SECONDS = {5, 60, 240};
     private static final int[] CONNECTION_COUNTS = {1, 100, 400};
-    private static final int DEFAULT_BACKEND_COUNT = 60, MEASURED_LIST_COUNT = 10, WARM_UP_LIST_COUNT = 5, RELOAD_COUNT = 20, SCRAPE_COUNT = 200;
-    private static final long SETTLE_MS = 2_000, REQUEST_INTERVAL_MS = 20, EVENT_TIMEOUT_MS = 30_000;
-
-    @Option(names = "--slopes", defaultValue = "docs/capacity/slopes.json", description = "The file of slopes.")
+    private static final int DEFAULT_BACKEND_COUNT = 60;
+    private static final int MEASURED_LIST_COUNT = 10;
+    private static final int WARM_UP_LIST_COUNT = 5;
+    private static final int RELOAD_COUNT = 20;
+    private static final int SCRAPE_COUNT = 200;
+    /** Pause before a measurement in which work that is still in progress ends. */
+    private static final long SETTLE_MS = 2_000;
+    private static final long REQUEST_INTERVAL_MS = 20;
+    private static final long EVENT_TIMEOUT_MS = 30_000;
+
+    @Option(names = "--slopes", defaultValue = "docs/capacity/slopes.json",
+        description = "File of measured slopes (${DEFAULT-VALUE}).")
     private Path slopesFile;
 
-    @Option(names = "--rounds", defaultValue = "3", description = "Processes started for each point.")
+    @Option(names = "--rounds", defaultValue = "3", description = "Number of processes started for each point.")
     private int rounds;
 
-    @Option(names = "--requests", defaultValue = "300", description = "Requests of each round, 50 a second.")
+    @Option(names = "--requests", defaultValue = "300", description = "Number of requests in each round, 50 a second.")
     private int requests;
 
-    @Option(names = "--idle-ms", defaultValue = "4000", description = "How long an idle process is watched, in milliseconds.")
+    @Option(names = "--idle-ms", defaultValue = "4000",
+        description = "How long an idle process is measured, in milliseconds.")
     private long idleMs;
 
-    @Option(names = "--part", defaultValue = "ALL", description = "What is measured: ${COMPLETION-CANDIDATES}.")
+    @Option(names = "--part", defaultValue = "ALL", description = "Measurements to make: ${COMPLETION-CANDIDATES}.")
     private Part part;
 
     private SlopeRecorder recorder;
@@ -68,13 +78,13 @@
             case ALL -> {
                 measureLists();
                 measureSettings();
-                requests();
+                measureRequests();
                 measureConnections();
                 measureIdle();
             }
             case LISTS -> measureLists();
             case SETTINGS -> measureSettings();
-            case REQUESTS -> requests();
+            case REQUESTS -> measureRequests();
             case CONNECTIONS -> measureConnections();
             case IDLE -> measureIdle();
             default -> throw new IllegalArgumentException("unknown part " + part);
@@ -83,45 +93,52 @@
             + requests + " --idle-ms " + idleMs;
         String how = "The built jar, started by the line run of deploy/balancer.toml, with stand-ins on loopback. Processor "
             + "time is that of all threads of the process, in user and system mode.";
-        Slopes.read(slopesFile).withRun(recorder.run(command, how), recorder.slopes()).write(slopesFile);
+        Slopes.read(slopesFile).withRun(recorder.describeRun(command, how), recorder.slopes()).write(slopesFile);
         return 0;
     }
 
-    // ---- What is configured
+    // ---- Configuration
 
-    /** A configuration file; {@code members} are the workers that it knows from before. */
-    static String configurationJson(String members, int tenants, boolean probes) {
-        String teams = IntStream.range(0, tenants).mapToObj(t -> "{\"Name\":\"team-" + t + "\",\"QuotaPerS\":5.5}")
+    /**
+     * Returns the text of a configuration file.
+     *
+     * @param members  JSON entries of the known backends, separated by commas
+     * @param mayProbe whether the dispatcher probes backends for load reports
+     */
+    static String configurationJson(String members, int tenantCount, boolean mayProbe) {
+        String teams = IntStream.range(0, tenantCount).mapToObj(i -> "{\"Name\":\"team-" + i + "\",\"QuotaPerS\":5.5}")
             .collect(Collectors.joining(","));
-        String classes = IntStream.range(0, 3).mapToObj(c -> "{\"Name\":\"preview" + (c == 0 ? "" : c)
+        String classes = IntStream.range(0, 3).mapToObj(i -> "{\"Name\":\"preview" + (i == 0 ? "" : i)
             + "\",\"Effect\":\"repeatable\",\"TargetMs\":4000,\"GiveUpMs\":5000}").collect(Collectors.joining(","));
-        String zones = IntStream.range(0, 11).mapToObj(z -> "\"zone" + z + '"').collect(Collectors.joining(","));
+        String zones = IntStream.range(0, 11).mapToObj(i -> "\"zone" + i + '"').collect(Collectors.joining(","));
         return "{\"name\":\"n\",\"seed\":\"1f\",\"limits\":{\"sockets\":1024,\"memory_mb\":192},\"known\":{\"revision\":1,"
             + "\"complete\":true,\"members\":[" + members + "]},\"settings\":{\"Zone\":0,\"FailureDomains\":[" + zones
-            + "],\"Kinds\":[\"k\"],\"Discovery\":\"on_request\",\"Report\":{\"How\":\"" + (probes ? "pull" : "silent")
-            + "\",\"Columns\":[]},\"Customers\":[" + teams + "],\"Ceilings\":{\"Probes\":" + probes + ",\"MaxAttempts\":3,"
+            + "],\"Kinds\":[\"k\"],\"Discovery\":\"on_request\",\"Report\":{\"How\":\"" + (mayProbe ? "pull" : "silent")
+            + "\",\"Columns\":[]},\"Customers\":[" + teams + "],\"Ceilings\":{\"Probes\":" + mayProbe + ",\"MaxAttempts\":3,"
             + "\"Cancel\":true,\"RetryAfter\":true,\"MaxRetryAfterMs\":2000,\"ConnIdleMs\":15000,\"ConnectTimeoutMs\":250},"
             + "\"Extra\":{\"TellsStart\":true},\"RequestClasses\":[" + classes + "]}}";
     }
 
-    /** A worker in the platform's form. */
-    static String backendJson(int i, String address) {
+    /** Returns the entry of one backend in the discovery service's JSON form. */
+    static String backendJson(int index, String address) {
         return String.format("{\"id\":\"s-%08x\",\"host_port\":\"%s\",\"locality\":\"zone%d\",\"flavor\":\"k\",\"cell\":%d,"
-            + "\"phase\":\"SERVING\",\"size\":1.0,\"up_since_ms\":0}", i * 0x9E3779B9, address, i % 11, i / 4);
+            + "\"phase\":\"SERVING\",\"size\":1.0,\"up_since_ms\":0}", index * 0x9E3779B9, address, index % 11, index / 4);
     }
 
     private static String backendsJson(int count, String address) {
         return IntStream.range(0, count).mapToObj(i -> backendJson(i, address)).collect(Collectors.joining(","));
     }
 
-    private static String listJson(int revision, int workers, String address) {
-        return "{\"revision\":" + revision + ",\"complete\":true,\"members\":[" + backendsJson(workers, address) + "]}";
+    private static String listJson(int revision, int backendCount, String address) {
+        return "{\"revision\":" + revision + ",\"complete\":true,\"members\":[" + backendsJson(backendCount, address) + "]}";
     }
 
-    private static MeasuredDispatcher startDispatcher(StubServers peers, int workers, int tenants, boolean probes) throws IOException {
+    private static MeasuredDispatcher startDispatcher(StubServers stubs, int backendCount, int tenantCount, boolean mayProbe)
+            throws IOException {
         Path configuration = Files.createTempFile("capacity", ".json");
-        Files.writeString(configuration, configurationJson(backendsJson(workers, peers.backendAddress()), tenants, probes));
-        return new MeasuredDispatcher(configuration, peers.discoveryAddress());
+        Files.writeString(configuration,
+            configurationJson(backendsJson(backendCount, stubs.backendAddress()), tenantCount, mayProbe));
+        return new MeasuredDispatcher(configuration, stubs.discoveryAddress());
     }
 
     // ---- Lists: start, idle, whole lists
@@ -129,100 +146,110 @@
     private void measureLists() throws IOException, InterruptedException {
         recorder.describe("cpu.start", "a start with a known list, until it listens and 2 s on", "us", "worker");
         recorder.describe("cpu.idle", "a second without any request, after some lists", "us", "worker");
-        recorder.describe("cpu.list.process", "a whole list that is received, decoded and taken over, idle time taken off", "us", "worker");
+        recorder.describe("cpu.list.process", "a whole list that is received, decoded and taken over, idle time taken off",
+            "us", "worker");
         recorder.describe("heap.process", "live heap of the process with a list in hand", "bytes", "worker");
         recorder.describe("rss.process", "resident memory of the process after ten whole lists", "bytes", "worker");
         recorder.describe("bytes.log.start", "the log of a start", "bytes", "worker");
-        for (int workers : BACKEND_COUNTS) {
-            double[][] rows = new double[6][rounds];
+        for (int backendCount : BACKEND_COUNTS) {
+            double[][] costs = new double[6][rounds];
             for (int round = 0; round < rounds; round++) {
-                double[] row = measureListRound(workers);
-                for (int i = 0; i < row.length; i++) {
-                    rows[i][round] = row[i];
+                double[] roundCosts = measureListRound(backendCount);
+                for (int i = 0; i < roundCosts.length; i++) {
+                    costs[i][round] = roundCosts[i];
                 }
             }
             String[] names = {"cpu.start", "cpu.idle", "cpu.list.process", "heap.process", "rss.process", "bytes.log.start"};
             for (int i = 0; i < names.length; i++) {
-                recorder.add(names[i], workers, rows[i]);
+                recorder.add(names[i], backendCount, costs[i]);
             }
         }
     }
 
-    private double[] measureListRound(int workers) throws IOException, InterruptedException {
-        try (StubServers peers = new StubServers(); MeasuredDispatcher process = startDispatcher(peers, workers, 3, true)) {
+    /** Measures one process; the costs are in the order in which {@link #measureLists} describes them. */
+    private double[] measureListRound(int backendCount) throws IOException, InterruptedException {
+        try (StubServers stubs = new StubServers();
+                MeasuredDispatcher process = startDispatcher(stubs, backendCount, 3, true)) {
             TimeUnit.MILLISECONDS.sleep(SETTLE_MS);
-            double started = process.cpuMicrosSince(Map.of());
-            long logged = process.logBytes();
-            sendLists(peers, workers, WARM_UP_LIST_COUNT);
-            long heap = process.liveHeapBytes();
+            double startMicros = process.cpuMicrosSince(Map.of());
+            long logBytes = process.logBytes();
+            sendLists(stubs, backendCount, WARM_UP_LIST_COUNT);
+            long heapBytes = process.liveHeapBytes();
             TimeUnit.MILLISECONDS.sleep(SETTLE_MS);
-            double idlePerMs = idleCpuMicrosPerMilli(process);
+            double idleMicrosPerMilli = idleCpuMicrosPerMilli(process);
             Map<Path, Double> before = process.cpuMicrosByThread();
-            long from = System.nanoTime();
-            sendLists(peers, workers, MEASURED_LIST_COUNT);
-            double list = (process.cpuMicrosSince(before) - idlePerMs * (System.nanoTime() - from) / 1e6) / MEASURED_LIST_COUNT;
-            double idle = idlePerMs * 1000;
-            return new double[] {started, idle, list, heap, process.residentBytes(), logged};
+            long startNanos = System.nanoTime();
+            sendLists(stubs, backendCount, MEASURED_LIST_COUNT);
+            double listMicros = (process.cpuMicrosSince(before) - idleMicrosPerMilli * (System.nanoTime() - startNanos) / 1e6)
+                / MEASURED_LIST_COUNT;
+            double idleMicrosPerSecond = idleMicrosPerMilli * 1000;
+            return new double[] {startMicros, idleMicrosPerSecond, listMicros, heapBytes, process.residentBytes(), logBytes};
         }
     }
 
-    /** Microseconds of processor time that a process takes in a millisecond without requests. */
+    /** Microseconds of processor time that a process without requests uses in one millisecond. */
     private double idleCpuMicrosPerMilli(MeasuredDispatcher process) throws IOException, InterruptedException {
         Map<Path, Double> before = process.cpuMicrosByThread();
         TimeUnit.MILLISECONDS.sleep(idleMs);
         return process.cpuMicrosSince(before) / idleMs;
     }
 
-    /** Sends so many whole lists, one after another, and waits until the next call has come after the last. */
-    private void sendLists(StubServers peers, int workers, int count) throws InterruptedException {
-        for (int i = 0; i < count; i++) {
-            long answered = peers.sentListCount();
-            peers.pushList(listJson((int) nextId++ + 10, workers, peers.backendAddress()));
-            awaitAbove(peers::sentListCount, answered);
-            long calls = peers.watchCount();
-            awaitAbove(peers::watchCount, calls - 1);
+    /**
+     * Sends complete lists one after another. Waits after each until it has been sent, and 100 ms more, in which the
+     * dispatcher applies it and calls again.
+     */
+    private void sendLists(StubServers stubs, int backendCount, int listCount) throws InterruptedException {
+        for (int i = 0; i < listCount; i++) {
+            long listsSent = stubs.sentListCount();
+            stubs.pushList(listJson((int) nextId++ + 10, backendCount, stubs.backendAddress()));
+            awaitAbove(stubs::sentListCount, listsSent);
+            long watches = stubs.watchCount();
+            awaitAbove(stubs::watchCount, watches - 1);
             TimeUnit.MILLISECONDS.sleep(100);
         }
     }
 
+    /** Waits until a counter exceeds a value. */
     private static void awaitAbove(java.util.function.LongSupplier counter, long value) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(EVENT_TIMEOUT_MS);
+        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(EVENT_TIMEOUT_MS);
         while (counter.getAsLong() <= value) {
-            if (System.nanoTime() > end) {
-                throw new IllegalStateException("waited " + EVENT_TIMEOUT_MS + " ms for an event that did not come");
+            if (System.nanoTime() > deadline) {
+                throw new IllegalStateException("no event within " + EVENT_TIMEOUT_MS + " ms");
             }
             TimeUnit.MILLISECONDS.sleep(2);
         }
     }
 
-    // ---- Settings: start and reload by tenants, operators' figures
+    // ---- Settings: start, reload and metrics, by number of tenants
 
     private void measureSettings() throws IOException, InterruptedException {
         recorder.describe("cpu.start.tenants", "a start with 60 workers known, until it listens and 2 s on", "us", "tenant");
         recorder.describe("cpu.reload", "a SIGHUP, on which the file is reread", "us", "tenant");
         recorder.describe("cpu.metrics", "a GET /metrics on a connection of its own", "us", "tenant");
-        for (int tenants : TENANT_COUNTS) {
-            double[][] rows = new double[3][rounds];
+        for (int tenantCount : TENANT_COUNTS) {
+            double[][] costs = new double[3][rounds];
             for (int round = 0; round < rounds; round++) {
-                try (StubServers peers = new StubServers(); MeasuredDispatcher process = startDispatcher(peers, DEFAULT_BACKEND_COUNT, tenants, true)) {
+                try (StubServers stubs = new StubServers();
+                        MeasuredDispatcher process = startDispatcher(stubs, DEFAULT_BACKEND_COUNT, tenantCount, true)) {
                     TimeUnit.MILLISECONDS.sleep(SETTLE_MS);
-                    rows[0][round] = process.cpuMicrosSince(Map.of());
-                    rows[1][round] = cpuMicrosPerReload(process);
-                    rows[2][round] = cpuMicrosPerScrape(process);
+                    costs[0][round] = process.cpuMicrosSince(Map.of());
+                    costs[1][round] = cpuMicrosPerReload(process);
+                    costs[2][round] = cpuMicrosPerScrape(process);
                 }
             }
-            recorder.add("cpu.start.tenants", tenants, rows[0]);
-            recorder.add("cpu.reload", tenants, rows[1]);
-            recorder.add("cpu.metrics", tenants, rows[2]);
+            recorder.add("cpu.start.tenants", tenantCount, costs[0]);
+            recorder.add("cpu.reload", tenantCount, costs[1]);
+            recorder.add("cpu.metrics", tenantCount, costs[2]);
         }
     }
 
+    /** Microseconds of processor time of one reload; a reload has ended when it has logged a line. */
     private static double cpuMicrosPerReload(MeasuredDispatcher process) throws IOException, InterruptedException {
         Map<Path, Double> before = process.cpuMicrosByThread();
         for (int i = 0; i < RELOAD_COUNT; i++) {
-            long lines = process.logLines();
+            long linesBefore = process.logLines();
             process.sendHangUp();
-            awaitAbove(process::logLines, lines);
+            awaitAbove(process::logLines, linesBefore);
         }
         return process.cpuMicrosSince(before) / RELOAD_COUNT;
     }
@@ -235,54 +262,57 @@
         return process.cpuMicrosSince(before) / SCRAPE_COUNT;
     }
 
-    // ---- Idle time by age
+    // ---- Idle time, by age of the process
 
     private void measureIdle() throws IOException, InterruptedException {
         recorder.describe("cpu.idle.age", "a second without any request, 60 workers, by the age of the process", "us", "second");
-        List<StubServers> peers = new ArrayList<>();
+        List<StubServers> stubs = new ArrayList<>();
         List<MeasuredDispatcher> processes = new ArrayList<>();
         for (int round = 0; round < rounds; round++) {
-            peers.add(new StubServers());
-            processes.add(startDispatcher(peers.get(round), DEFAULT_BACKEND_COUNT, 3, true));
+            stubs.add(new StubServers());
+            processes.add(startDispatcher(stubs.get(round), DEFAULT_BACKEND_COUNT, 3, true));
         }
-        long from = System.nanoTime();
+        long startNanos = System.nanoTime();
         for (int age : AGES_SECONDS) {
-            TimeUnit.NANOSECONDS.sleep(from + TimeUnit.SECONDS.toNanos(age) - System.nanoTime());
+            TimeUnit.NANOSECONDS.sleep(startNanos + TimeUnit.SECONDS.toNanos(age) - System.nanoTime());
             recorder.add("cpu.idle.age", age, idleCpuMicrosPerSecond(processes));
         }
         processes.forEach(MeasuredDispatcher::close);
-        peers.forEach(StubServers::close);
+        stubs.forEach(StubServers::close);
     }
 
-    /** Of several processes, in the same seconds. */
+    /** Measures several processes at the same time: microseconds of processor time a second of each. */
     private double[] idleCpuMicrosPerSecond(List<MeasuredDispatcher> processes) throws IOException, InterruptedException {
         List<Map<Path, Double>> before = new ArrayList<>();
         for (MeasuredDispatcher process : processes) {
             before.add(process.cpuMicrosByThread());
         }
         TimeUnit.MILLISECONDS.sleep(idleMs);
-        double[] result = new double[processes.size()];
-        for (int i = 0; i < result.length; i++) {
-            result[i] = processes.get(i).cpuMicrosSince(before.get(i)) / idleMs * 1000;
+        double[] micros = new double[processes.size()];
+        for (int i = 0; i < micros.length; i++) {
+            micros[i] = processes.get(i).cpuMicrosSince(before.get(i)) / idleMs * 1000;
         }
-        return result;
+        return micros;
     }
 
     // ---- Requests and probes
 
-    private void requests() throws IOException, InterruptedException {
-        recorder.describe("cpu.request.silent", "a request through a process that does not probe, 50 a second, idle time taken off",
+    private void measureRequests() throws IOException, InterruptedException {
+        recorder.describe("cpu.request.silent",
+            "a request through a process that does not probe, 50 a second, idle time taken off",
+            "us", "request served before");
+        recorder.describe("cpu.request.probing", "a request through a process that probes, 50 a second, idle time taken off",
             "us", "request served before");
-        recorder.describe("cpu.request.probing", "a request through a process that probes, 50 a second, idle time taken off", "us",
-            "request served before");
         recorder.describe("probes.process", "probes for a request, 50 a second at 60 workers", "probes", "request served before");
         for (int served : SERVED_COUNTS) {
-            double[] silent = new double[rounds], probing = new double[rounds], probes = new double[rounds];
+            double[] silent = new double[rounds];
+            double[] probing = new double[rounds];
+            double[] probes = new double[rounds];
             for (int round = 0; round < rounds; round++) {
                 silent[round] = measureRequestRound(served, false)[0];
-                double[] both = measureRequestRound(served, true);
-                probing[round] = both[0];
-                probes[round] = both[1];
+                double[] microsAndProbes = measureRequestRound(served, true);
+                probing[round] = microsAndProbes[0];
+                probes[round] = microsAndProbes[1];
             }
             recorder.add("cpu.request.silent", served, silent);
             recorder.add("cpu.request.probing", served, probing);
@@ -290,46 +320,49 @@
         }
     }
 
-    private double[] measureRequestRound(int served, boolean probes) throws IOException, InterruptedException {
-        try (StubServers peers = new StubServers(); MeasuredDispatcher process = startDispatcher(peers, DEFAULT_BACKEND_COUNT, 3, probes);
+    /** Measures one process: microseconds of processor time and number of probes for each request. */
+    private double[] measureRequestRound(int served, boolean mayProbe) throws IOException, InterruptedException {
+        try (StubServers stubs = new StubServers();
+                MeasuredDispatcher process = startDispatcher(stubs, DEFAULT_BACKEND_COUNT, 3, mayProbe);
                 Socket client = new Socket("127.0.0.1", process.port())) {
             client.setTcpNoDelay(true);
             sendRequests(client, served, 0);
             TimeUnit.MILLISECONDS.sleep(SETTLE_MS);
-            double idlePerMs = idleCpuMicrosPerMilli(process);
-            long asked = peers.probeCount();
+            double idleMicrosPerMilli = idleCpuMicrosPerMilli(process);
+            long probesBefore = stubs.probeCount();
             Map<Path, Double> before = process.cpuMicrosByThread();
-            long from = System.nanoTime();
+            long startNanos = System.nanoTime();
             sendRequests(client, requests, REQUEST_INTERVAL_MS);
-            double taken = process.cpuMicrosSince(before) - idlePerMs * (System.nanoTime() - from) / 1e6;
-            return new double[] {taken / requests, (double) (peers.probeCount() - asked) / requests};
+            double micros = process.cpuMicrosSince(before) - idleMicrosPerMilli * (System.nanoTime() - startNanos) / 1e6;
+            return new double[] {micros / requests, (double) (stubs.probeCount() - probesBefore) / requests};
         }
     }
 
-    /** So many requests, one each {@code gapMs}, or as soon as the one before is answered where that takes longer. */
-    private void sendRequests(Socket client, int count, long gapMs) throws IOException, InterruptedException {
-        long next = System.nanoTime();
+    /** Sends requests one after another: each {@code intervalMs} after the one before, or on its answer if that is later. */
+    private void sendRequests(Socket client, int count, long intervalMs) throws IOException, InterruptedException {
+        long nextNanos = System.nanoTime();
         for (int i = 0; i < count; i++) {
             String head = String.format("POST /preview/a HTTP/1.1\r\nHost: h\r\nX-Request-ID: %016x\r\nX-Timeout: 5000m\r\n"
                 + "X-Tenant-Id: team-1\r\nContent-Length: 64\r\n\r\n", nextId++);
             client.getOutputStream().write((head + "b".repeat(64)).getBytes(StandardCharsets.ISO_8859_1));
             readResponse(client.getInputStream());
-            next += TimeUnit.MILLISECONDS.toNanos(gapMs);
-            TimeUnit.NANOSECONDS.sleep(Math.max(0, next - System.nanoTime()));
+            nextNanos += TimeUnit.MILLISECONDS.toNanos(intervalMs);
+            TimeUnit.NANOSECONDS.sleep(Math.max(0, nextNanos - System.nanoTime()));
         }
     }
 
+    /** Reads and discards a response, which has to be of status 200. */
     private static void readResponse(InputStream in) throws IOException {
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
             int read = in.read();
             if (read < 0) {
-                throw new IOException("closed without an answer");
+                throw new IOException("connection closed before a response");
             }
             head.append((char) read);
         }
         if (!head.toString().startsWith("HTTP/1.1 200")) {
-            throw new IOException("not served: " + head);
+            throw new IOException("unexpected response: " + head);
         }
         in.readNBytes(Integer.parseInt(head.toString().replaceAll("(?s).*Content-Length: (\\d+).*", "$1")));
     }
@@ -339,22 +372,23 @@
     private void measureConnections() throws IOException, InterruptedException {
         recorder.describe("heap.connection", "live heap of the process with idle client connections", "bytes", "connection");
         for (int count : CONNECTION_COUNTS) {
-            double[] heap = new double[rounds];
+            double[] heapBytes = new double[rounds];
             for (int round = 0; round < rounds; round++) {
-                try (StubServers peers = new StubServers(); MeasuredDispatcher process = startDispatcher(peers, DEFAULT_BACKEND_COUNT, 3, false)) {
+                try (StubServers stubs = new StubServers();
+                        MeasuredDispatcher process = startDispatcher(stubs, DEFAULT_BACKEND_COUNT, 3, false)) {
                     List<Socket> clients = new ArrayList<>();
                     for (int i = 0; i < count; i++) {
                         Socket client = new Socket("127.0.0.1", process.port());
                         clients.add(client);
                         sendRequests(client, 1, 0);
                     }
-                    heap[round] = process.liveHeapBytes();
+                    heapBytes[round] = process.liveHeapBytes();
                     for (Socket client : clients) {
                         client.close();
                     }
                 }
             }
-            recorder.add("heap.connection", count, heap);
+            recorder.add("heap.connection", count, heapBytes);
         }
     }
 }
--- a/src/bench/java/badgermux/capacity/PolicyHarness.java
+++ b/src/bench/java/badgermux/capacity/PolicyHarness.java
@@ -13,12 +13,16 @@
 import java.util.PriorityQueue;
 
 /**
- * One decision module with a list of workers, driven on a clock of its own: a job each 20 ms that runs for 300 ms, all
- * probes answered at once. Workers have free slots, so that each job is sent when it comes.
+ * Drives one decision policy with a list of backends on a simulated clock. A request arrives every 20 ms and runs for
+ * 300 ms; probes are answered at once. The backends report free slots, so that each request is sent when it arrives.
  */
 final class PolicyHarness implements DispatchPolicy.Actions {
-    static final int ZONE_COUNT = 11, KIND_COUNT = 2;
-    private static final long RUN_MICROS = 300_000, ARRIVAL_INTERVAL_MICROS = 20_000, START_MICROS = 1L << 40;
+    static final int ZONE_COUNT = 11;
+    static final int KIND_COUNT = 2;
+    private static final long RUN_MICROS = 300_000;
+    private static final long ARRIVAL_INTERVAL_MICROS = 20_000;
+    private static final long START_MICROS = 1L << 40;
+    /** Free slots that every backend reports. */
     private static final int FREE_SLOTS = 4;
 
     private record PendingTimer(long firesAt, int token) { }
@@ -32,52 +36,54 @@
     private final DispatchPolicy.LoadReport report = new DispatchPolicy.LoadReport();
     private final DefaultDispatchPolicy policy;
     private final List<DispatchPolicy.Backend> backends = new ArrayList<>();
-    private final int classes;
+    private final int classCount;
     private long nowMicros = START_MICROS;
-    private long job;
+    private long nextRequestId;
     private long probeCount;
 
-    PolicyHarness(int size, int classes, int tenants) {
-        this.classes = classes;
+    PolicyHarness(int backendCount, int classCount, int tenantCount) {
+        this.classCount = classCount;
         report.freeSlots = FREE_SLOTS;
-        for (int i = 0; i < size; i++) {
+        for (int i = 0; i < backendCount; i++) {
             backends.add(createBackend(i, BackendState.READY));
         }
-        policy = new DefaultDispatchPolicy(settings(classes, tenants), 7, this);
+        policy = new DefaultDispatchPolicy(settings(classCount, tenantCount), 7, this);
         policy.backendsListed(nowMicros, ListUpdate.FULL, backends);
     }
 
-    /** Settings like those of a deployment whose workers are probed, without limits on teams where there are none. */
-    static DispatchPolicy.Settings settings(int classes, int tenants) {
-        DispatchPolicy.Settings s = new DispatchPolicy.Settings();
-        s.dispatcherCount = 14;
-        s.kindCount = KIND_COUNT;
-        s.mayProbe = true;
-        s.reportMode = DispatchPolicy.ReportMode.ON_PROBE;
-        s.mayCancel = true;
-        s.maxAttempts = 3;
-        s.backendsReportStart = true;
-        s.idleTimeoutMicros = 15_000_000;
-        s.coldCapacityShare = 0.15;
-        s.warmUpMicros = 23_000_000;
-        s.overloadMultiple = 3;
-        s.overloadWindowMicros = 2_000_000;
-        for (int c = 0; c < classes; c++) {
-            s.classes.add(new DispatchPolicy.RequestClass("class" + c, Effect.REPEATABLE, DispatchPolicy.DedupScope.ALL, 600_000, 1.75, 10_000_000,
-                0, 1, 0, -1, false));
+    /** Settings like those of a deployment that probes its backends; without tenants there are no quotas. */
+    static DispatchPolicy.Settings settings(int classCount, int tenantCount) {
+        DispatchPolicy.Settings settings = new DispatchPolicy.Settings();
+        settings.dispatcherCount = 14;
+        settings.kindCount = KIND_COUNT;
+        settings.mayProbe = true;
+        settings.reportMode = DispatchPolicy.ReportMode.ON_PROBE;
+        settings.mayCancel = true;
+        settings.maxAttempts = 3;
+        settings.backendsReportStart = true;
+        settings.idleTimeoutMicros = 15_000_000;
+        settings.coldCapacityShare = 0.15;
+        settings.warmUpMicros = 23_000_000;
+        settings.overloadMultiple = 3;
+        settings.overloadWindowMicros = 2_000_000;
+        for (int i = 0; i < classCount; i++) {
+            settings.classes.add(new DispatchPolicy.RequestClass("class" + i, Effect.REPEATABLE, DispatchPolicy.DedupScope.ALL,
+                600_000, 1.75, 10_000_000, 0, 1, 0, -1, false));
         }
-        for (int t = 0; t < tenants; t++) {
-            s.tenants.add(new DispatchPolicy.Tenant("team" + t, 1000));
+        for (int i = 0; i < tenantCount; i++) {
+            settings.tenants.add(new DispatchPolicy.Tenant("team" + i, 1000));
         }
-        return s;
+        return settings;
     }
 
-    private static DispatchPolicy.Backend createBackend(int i, BackendState state) {
-        return new DispatchPolicy.Backend(i * 0x9E3779B97F4A7C15L, i % ZONE_COUNT, i / ZONE_COUNT % KIND_COUNT, i / 4, state, 0);
+    /** Creates the backend of an index; the multiplication spreads its id over all 64 bits. */
+    private static DispatchPolicy.Backend createBackend(int index, BackendState state) {
+        return new DispatchPolicy.Backend(index * 0x9E3779B97F4A7C15L, index % ZONE_COUNT, index / ZONE_COUNT % KIND_COUNT,
+            index / 4, state, 0);
     }
 
-    /** A job from its request on, and all that is due by then of those before it. */
-    void job() {
+    /** Advances the clock to the next request: fires due timers, ends attempts that are done, submits it, answers probes. */
+    void runRequest() {
         nowMicros += ARRIVAL_INTERVAL_MICROS;
         fireDueTimers();
         while (!runningAttempts.isEmpty() && runningAttempts.peek().endsAt <= nowMicros) {
@@ -85,8 +91,9 @@
             policy.attemptEnded(nowMicros, done.requestId, 0, done.backendId, Outcome.SERVED, true, null);
             startSentAttempts();
         }
-        policy.requestReceived(nowMicros, new DispatchPolicy.Request(job, (int) (job % classes), 0, 1, 0, 10_000_000));
-        job++;
+        policy.requestReceived(nowMicros, new DispatchPolicy.Request(nextRequestId, (int) (nextRequestId % classCount),
+            0, 1, 0, 10_000_000));
+        nextRequestId++;
         startSentAttempts();
         while (!pendingProbes.isEmpty()) {
             policy.probeEnded(nowMicros, pendingProbes.poll(), true, report);
@@ -94,31 +101,31 @@
         }
     }
 
-    /** The news of one worker, which drains and comes back in turns. */
+    /** Reports a change of one backend in a delta: on even turns it drains, on odd turns it is ready again. */
     void changeOneBackend(int turn) {
         nowMicros += ARRIVAL_INTERVAL_MICROS;
         BackendState state = turn % 2 == 0 ? BackendState.DRAINING : BackendState.READY;
         policy.backendsListed(nowMicros, ListUpdate.DELTA, List.of(createBackend(turn / 2 % backends.size(), state)));
     }
 
-    /** The whole list as it stands. */
+    /** Reports the complete, unchanged list. */
     void resendFullList() {
         nowMicros += ARRIVAL_INTERVAL_MICROS;
         policy.backendsListed(nowMicros, ListUpdate.FULL, backends);
     }
 
-    /** All workers of zone 0 are told gone, one by one or in one delta. */
+    /** Removes all backends of zone 0, in one delta for each or in a single delta. */
     void removeZone(boolean oneByOne) {
         nowMicros += ARRIVAL_INTERVAL_MICROS;
         List<DispatchPolicy.Backend> gone = zoneBackends(BackendState.GONE);
         if (oneByOne) {
-            gone.forEach(worker -> policy.backendsListed(nowMicros, ListUpdate.DELTA, List.of(worker)));
+            gone.forEach(backend -> policy.backendsListed(nowMicros, ListUpdate.DELTA, List.of(backend)));
         } else {
             policy.backendsListed(nowMicros, ListUpdate.DELTA, gone);
         }
     }
 
-    /** All workers of zone 0 are back, in one delta. */
+    /** Lists all backends of zone 0 as ready again, in a single delta. */
     void restoreZone() {
         policy.backendsListed(nowMicros, ListUpdate.DELTA, zoneBackends(BackendState.READY));
     }
@@ -131,7 +138,7 @@
         return zone;
     }
 
-    /** How many probes were asked for so far. */
+    /** Number of probes that the policy has asked for so far. */
     long probeCount() {
         return probeCount;
     }
@@ -143,7 +150,7 @@
         }
     }
 
-    /** What was sent starts once the event that sent it has been dealt with, as in the engine. */
+    /** Reports sent attempts as started. As in the engine, this follows the event in which they were sent. */
     private void startSentAttempts() {
         for (SimulatedAttempt next = unstartedAttempts.poll(); next != null; next = unstartedAttempts.poll()) {
             runningAttempts.add(next);
@@ -151,26 +158,26 @@
         }
     }
 
-    @Override public void send(long id, long worker) {
-        unstartedAttempts.add(new SimulatedAttempt(nowMicros + RUN_MICROS, id, worker));
+    @Override public void send(long requestId, long backendId) {
+        unstartedAttempts.add(new SimulatedAttempt(nowMicros + RUN_MICROS, requestId, backendId));
     }
 
-    @Override public void startTimer(long delay, int token) {
-        timers.add(new PendingTimer(nowMicros + delay, token));
+    @Override public void startTimer(long delayMicros, int token) {
+        timers.add(new PendingTimer(nowMicros + delayMicros, token));
     }
 
-    @Override public void probe(long worker) {
+    @Override public void probe(long backendId) {
         probeCount++;
-        pendingProbes.add(worker);
+        pendingProbes.add(backendId);
     }
 
-    @Override public void refuse(long id, long comeBack) { }
+    @Override public void refuse(long requestId, long retryAfterMicros) { }
 
-    @Override public void fail(long id) { }
+    @Override public void fail(long requestId) { }
 
-    @Override public void cancel(long id, int attempt) { }
+    @Override public void cancel(long requestId, int attemptNumber) { }
 
-    @Override public void closeIdleConnections(long worker) { }
+    @Override public void closeIdleConnections(long backendId) { }
 
     @Override public void watchBackendList() { }
 
--- a/src/bench/java/badgermux/capacity/SlopeRecorder.java
+++ b/src/bench/java/badgermux/capacity/SlopeRecorder.java
@@ -10,69 +10,73 @@
 import java.util.Map;
 import org.apache.commons.math3.stat.regression.OLSMultipleLinearRegression;
 
-/** Collects what a run measures and fits a line through the points of each cost. */
+/** Collects the measurements of a run and fits a line through the points of each cost. */
 final class SlopeRecorder {
-    /** A cost by size, while it is measured. */
+    /** A cost whose points are still being measured; the components are those of {@link Slope}. */
     private record Series(String what, String unit, String per, List<Slope.Point> points) { }
 
-    private final String run;
-    private final Map<String, Series> series = new LinkedHashMap<>();
+    private final String runName;
+    private final Map<String, Series> seriesByName = new LinkedHashMap<>();
 
-    /** Records for a run of this name. */
-    SlopeRecorder(String run) {
-        this.run = run;
+    SlopeRecorder(String runName) {
+        this.runName = runName;
     }
 
-    /** Names a cost before its points are added. */
+    /** Declares a cost. This has to come before its points are added. */
     void describe(String name, String what, String unit, String per) {
-        series.put(name, new Series(what, unit, per, new ArrayList<>()));
+        seriesByName.put(name, new Series(what, unit, per, new ArrayList<>()));
     }
 
-    /** Adds a point: what each round measured at a size. */
+    /** Adds a point, made of the costs of all rounds at one size, and prints it. */
     void add(String name, double size, double... rounds) {
         double[] sorted = rounds.clone();
         Arrays.sort(sorted);
         double median = (sorted[(sorted.length - 1) / 2] + sorted[sorted.length / 2]) / 2;
         Slope.Point point = new Slope.Point(size, sorted.length, roundToFourDigits(median), roundToFourDigits(sorted[0]),
             roundToFourDigits(sorted[sorted.length - 1]));
-        series.get(name).points.add(point);
+        seriesByName.get(name).points.add(point);
         System.out.printf(Locale.ROOT, "%-22s %8.0f %12.3f  (%.3f to %.3f)%n", name, size, median, sorted[0],
             sorted[sorted.length - 1]);
     }
 
-    /** The slopes, each with its fitted line. */
+    /** Returns the slopes with their fitted lines. */
     List<Slope> slopes() {
-        return series.entrySet().stream().map(e -> fitSlope(e.getKey(), e.getValue())).toList();
+        return seriesByName.entrySet().stream().map(entry -> fitSlope(entry.getKey(), entry.getValue())).toList();
     }
 
-    /** This run's entry, dated now. */
-    Slopes.Run run(String command, String how) {
-        double load = java.lang.management.ManagementFactory.getOperatingSystemMXBean().getSystemLoadAverage();
+    /** Returns the description of this run, with the present time, Java version and load average. */
+    Slopes.Run describeRun(String command, String how) {
+        double loadAverage = java.lang.management.ManagementFactory.getOperatingSystemMXBean().getSystemLoadAverage();
         String machine = String.format(Locale.ROOT, "%d cores, Java %s, load average of the last minute %.1f",
-            Runtime.getRuntime().availableProcessors(), System.getProperty("java.version"), load);
-        return new Slopes.Run(run, command, Instant.now().truncatedTo(ChronoUnit.SECONDS).toString(), machine, how);
+            Runtime.getRuntime().availableProcessors(), System.getProperty("java.version"), loadAverage);
+        return new Slopes.Run(runName, command, Instant.now().truncatedTo(ChronoUnit.SECONDS).toString(), machine, how);
     }
 
-    private Slope fitSlope(String name, Series of) {
-        double[] line = fitLine(of.points);
+    private Slope fitSlope(String name, Series series) {
+        double[] baseAndSlope = fitLine(series.points);
         double squares = 0;
-        for (Slope.Point point : of.points) {
-            double error = (line[0] + line[1] * point.size() - point.median()) / point.median();
+        for (Slope.Point point : series.points) {
+            double error = (baseAndSlope[0] + baseAndSlope[1] * point.size() - point.median()) / point.median();
             squares += error * error;
         }
-        double error = Math.sqrt(squares / of.points.size());
-        return new Slope(name, of.what, of.unit, of.per, run, of.points, roundToFourDigits(line[0]), roundToFourDigits(line[1]), roundToFourDigits(error));
+        double error = Math.sqrt(squares / series.points.size());
+        return new Slope(name, series.what, series.unit, series.per, runName, series.points,
+            roundToFourDigits(baseAndSlope[0]), roundToFourDigits(baseAndSlope[1]), roundToFourDigits(error));
     }
 
-    /** Base and slope with the least sum of squared relative errors: each point weighs by its own size of cost. */
+    /**
+     * Returns base and slope of the line with the least sum of squared relative errors: each equation is divided by the
+     * measured cost, so that small costs count as much as large ones. A single point gives a constant.
+     */
     private static double[] fitLine(List<Slope.Point> points) {
         if (points.size() == 1) {
             return new double[] {points.get(0).median(), 0};
         }
         if (points.size() == 2) {
-            Slope.Point one = points.get(0), two = points.get(1);
-            double slope = (two.median() - one.median()) / (two.size() - one.size());
-            return new double[] {one.median() - slope * one.size(), slope};
+            Slope.Point first = points.get(0);
+            Slope.Point second = points.get(1);
+            double slope = (second.median() - first.median()) / (second.size() - first.size());
+            return new double[] {first.median() - slope * first.size(), slope};
         }
         double[] ones = new double[points.size()];
         double[][] weighted = new double[points.size()][];
--- a/src/bench/java/badgermux/capacity/StubServers.java
+++ b/src/bench/java/badgermux/capacity/StubServers.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** A discovery service and a worker on loopback, for one dispatcher of the built jar. */
+/** A stub discovery service and a stub backend on loopback, for one dispatcher of the built jar. */
 final class StubServers implements AutoCloseable {
     private static final String LOAD_REPORT = "TEXT x0=4, x1=2048, latency_ms=20, qps=2.5";
 
@@ -43,44 +43,44 @@
         return server;
     }
 
-    /** Where discovery answers. */
+    /** Address of the discovery service, as HOST:PORT. */
     String discoveryAddress() {
         return "127.0.0.1:" + discovery.getAddress().getPort();
     }
 
-    /** Where the worker answers. */
+    /** Address of the backend, as HOST:PORT. */
     String backendAddress() {
         return "127.0.0.1:" + backend.getAddress().getPort();
     }
 
-    /** Has discovery answer the next call with this list. */
+    /** Queues a list with which the discovery service answers one watch, at once or when the watch comes. */
     void pushList(String list) {
         pendingLists.add(list);
     }
 
-    /** How many lists were written whole. */
+    /** Number of lists sent completely. */
     long sentListCount() {
         return sentListCount.get();
     }
 
-    /** How many probes came. */
+    /** Number of probes received. */
     long probeCount() {
         return probeCount.get();
     }
 
-    /** How many calls for the list came. */
+    /** Number of watches received. */
     long watchCount() {
         return watchCount.get();
     }
 
-    /** A watch: the next list that is pushed, or an answer without entries when its time is up. */
+    /** Answers a watch with the next queued list, or without entries when the watch times out. */
     private void answerWatch(HttpExchange exchange) throws IOException {
         watchCount.incrementAndGet();
         String query = exchange.getRequestURI().getQuery();
-        long timeout = Long.parseLong(query.replaceAll(".*timeout_ms=", ""));
+        long timeoutMs = Long.parseLong(query.replaceAll(".*timeout_ms=", ""));
         String since = query.replaceAll(".*since=(\\d+).*", "$1");
         try {
-            String list = pendingLists.poll(timeout, TimeUnit.MILLISECONDS);
+            String list = pendingLists.poll(timeoutMs, TimeUnit.MILLISECONDS);
             reply(exchange, list != null ? list : "{\"revision\":" + since + ",\"complete\":false,\"members\":[]}");
             sentListCount.addAndGet(list == null ? 0 : 1);
         } catch (InterruptedException e) {
@@ -88,7 +88,7 @@
         }
     }
 
-    /** A job that starts and is done at once. */
+    /** Answers a request that starts and is done at once. */
     private void answerRequest(HttpExchange exchange) throws IOException {
         exchange.getRequestBody().readAllBytes();
         String id = exchange.getRequestHeaders().getFirst("X-Request-ID");
