--- a/src/bench/java/badgermux/bench/BigDescription.java
+++ b/src/bench/java/badgermux/bench/BigDescription.java
@@ -6,8 +6,8 @@
 import java.util.Locale;
 
 /**
- * Writes an OpenAPI description of a given number of routes and about a given size, of the shape that large ones have:
- * a few hundred shared schemas that refer to each other, and long texts. Arguments: FILE ROUTES MEGABYTES.
+ * Writes an OpenAPI description with a given number of routes and of about a given size. It has the shape of large real
+ * ones: hundreds of shared schemas that refer to each other, and long texts. Arguments: FILE ROUTES MEGABYTES.
  */
 public final class BigDescription {
     private BigDescription() { }
@@ -16,13 +16,20 @@
         Files.writeString(Path.of(args[0]), generate(Integer.parseInt(args[1]), Integer.parseInt(args[2]) << 20));
     }
 
-    /** The description's JSON text. Each route is {@code POST /preview/rI/{id}} and takes {@code {"a":integer,...}}. */
+    /**
+     * Returns the JSON text of a description. Route number N is {@code POST /preview/rN/{id}} and takes a body of the form
+     * {@code {"a":integer,...}}.
+     *
+     * @param routes number of routes; each has a schema of its own
+     * @param bytes  approximate size of the text
+     */
     public static String generate(int routes, int bytes) {
         int schemas = Math.max(1, routes);
-        String words = "What stands here is read by people only, and there is a lot of it. ";
-        // About 1,500 bytes a route and its schema without the words.
-        int filler = Math.max(0, bytes / routes - 1500) / words.length();
-        StringBuilder text = new StringBuilder("{\"openapi\":\"3.0.3\",\"info\":{\"title\":\"big\",\"version\":\"1\"},\"paths\":{");
+        String sentence = "What stands here is read by people only, and there is a lot of it. ";
+        // A route and its schema take about 1,500 bytes without the filler text.
+        int sentences = Math.max(0, bytes / routes - 1500) / sentence.length();
+        StringBuilder text = new StringBuilder(
+            "{\"openapi\":\"3.0.3\",\"info\":{\"title\":\"big\",\"version\":\"1\"},\"paths\":{");
         for (int i = 0; i < routes; i++) {
             text.append(i == 0 ? "" : ",").append(String.format(Locale.ROOT, "\n\"/preview/r%d/{id}\":{\"post\":{"
                 + "\"description\":\"%s\",\"parameters\":[{\"name\":\"id\",\"in\":\"path\",\"required\":true,"
@@ -30,7 +37,7 @@
                 + "\"schema\":{\"type\":\"integer\",\"minimum\":1}}],\"requestBody\":{\"required\":true,\"content\":{"
                 + "\"application/json\":{\"schema\":{\"$ref\":\"#/components/schemas/S%d\"}}}},"
                 + "\"responses\":{\"200\":{\"description\":\"ok\",\"content\":{\"application/json\":{\"schema\":"
-                + "{\"$ref\":\"#/components/schemas/S%d\"}}}}}}}", i, words.repeat(filler / 2), i % schemas,
+                + "{\"$ref\":\"#/components/schemas/S%d\"}}}}}}}", i, sentence.repeat(sentences / 2), i % schemas,
                 (i + 1) % schemas));
         }
         text.append("},\"components\":{\"schemas\":{");
@@ -43,7 +50,7 @@
                 + "\"next\":{\"$ref\":\"#/components/schemas/S%d\"},"
                 + "\"list\":{\"type\":\"array\",\"maxItems\":50,\"items\":{\"$ref\":\"#/components/schemas/S%d\"}},"
                 + "\"alt\":{\"oneOf\":[{\"$ref\":\"#/components/schemas/S%d\"},{\"type\":\"string\"}]}}}", i,
-                words.repeat(filler / 2), (i + 1) % schemas, (i * 7 + 3) % schemas, (i * 13 + 5) % schemas));
+                sentence.repeat(sentences / 2), (i + 1) % schemas, (i * 7 + 3) % schemas, (i * 13 + 5) % schemas));
         }
         return text.append("}}}\n").toString();
     }
--- a/src/bench/java/badgermux/bench/DecideBench.java
+++ b/src/bench/java/badgermux/bench/DecideBench.java
@@ -1,11 +1,11 @@
 package badgermux.bench;
 
+import badgermux.decide.DefaultDispatchPolicy;
 import badgermux.decide.DispatchPolicy;
+import badgermux.decide.DispatchPolicy.BackendState;
 import badgermux.decide.DispatchPolicy.Effect;
 import badgermux.decide.DispatchPolicy.ListUpdate;
 import badgermux.decide.DispatchPolicy.Outcome;
-import badgermux.decide.DispatchPolicy.BackendState;
-import badgermux.decide.DefaultDispatchPolicy;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -26,8 +26,9 @@
 import org.openjdk.jmh.annotations.Warmup;
 
 /**
- * What the module takes for a job, from its request to its outcome with all probes and timers in between, and for the news
- * of one worker, by the size of the list. A job comes each 20 ms and runs for 300 ms.
+ * Measures the time that the decision policy takes for a request, from its arrival to the end of its attempt with all probes
+ * and timers in between, and for a delta of one backend, at several sizes of the list. A request arrives every 20 ms and
+ * runs for 300 ms.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
@@ -36,17 +37,18 @@
 @Measurement(iterations = 5, time = 1)
 @Fork(1)
 public class DecideBench implements DispatchPolicy.Actions {
-    private static final long RUN_MICROS = 300_000, ARRIVAL_INTERVAL_MICROS = 20_000;
+    private static final long RUN_MICROS = 300_000;
+    private static final long ARRIVAL_INTERVAL_MICROS = 20_000;
 
     private record PendingTimer(long firesAt, int token) { }
 
     private record SimulatedAttempt(long endsAt, long requestId, long backendId) { }
 
-    /** How many workers are listed. */
+    /** Number of listed backends. */
     @Param({"15", "60", "200", "1000"})
     public int runners;
 
-    /** {@code free}: all have free slots; {@code full}: none has; {@code cold}: none has but those of the half that is cold. */
+    /** Which backends have free slots: all ({@code free}), none ({@code full}), or only the cold half ({@code cold}). */
     @Param({"free", "full", "cold"})
     public String fleet;
 
@@ -58,31 +60,32 @@
     private DefaultDispatchPolicy policy;
     private List<DispatchPolicy.Backend> backends;
     private long nowMicros;
-    private long job;
+    private long nextRequestId;
 
     @Setup public void setUp() {
-        DispatchPolicy.Settings s = new DispatchPolicy.Settings();
-        s.dispatcherCount = 14;
-        s.mayProbe = true;
-        s.reportMode = DispatchPolicy.ReportMode.ON_PROBE;
-        s.mayCancel = true;
-        s.maxAttempts = 1;
-        s.backendsReportStart = true;
-        s.idleTimeoutMicros = 15_000_000;
-        s.coldCapacityShare = 0.15;
-        s.warmUpMicros = 1L << 39;
-        s.overloadMultiple = 3;
-        s.overloadWindowMicros = 2_000_000;
-        s.classes.add(new DispatchPolicy.RequestClass("preview", Effect.REPEATABLE, DispatchPolicy.DedupScope.ALL, 600_000, 1.75, 10_000_000, 0, 1,
-            0, -1, false));
+        DispatchPolicy.Settings settings = new DispatchPolicy.Settings();
+        settings.dispatcherCount = 14;
+        settings.mayProbe = true;
+        settings.reportMode = DispatchPolicy.ReportMode.ON_PROBE;
+        settings.mayCancel = true;
+        settings.maxAttempts = 1;
+        settings.backendsReportStart = true;
+        settings.idleTimeoutMicros = 15_000_000;
+        settings.coldCapacityShare = 0.15;
+        settings.warmUpMicros = 1L << 39;
+        settings.overloadMultiple = 3;
+        settings.overloadWindowMicros = 2_000_000;
+        settings.classes.add(new DispatchPolicy.RequestClass("preview", Effect.REPEATABLE, DispatchPolicy.DedupScope.ALL,
+            600_000, 1.75, 10_000_000, 0, 1, 0, -1, false));
         nowMicros = 1L << 40;
-        long cold = fleet.equals("cold") ? nowMicros : 0;
-        backends = new ArrayList<>(IntStream.range(0, runners).mapToObj(i -> new DispatchPolicy.Backend(i * 0x9E3779B97F4A7C15L, i % 2,
-            0, i / 4, BackendState.READY, i % 2 == 0 ? 0 : cold)).toList());
-        policy = new DefaultDispatchPolicy(s, 7, this);
+        long coldStartedAtMicros = fleet.equals("cold") ? nowMicros : 0;
+        backends = new ArrayList<>(IntStream.range(0, runners).mapToObj(i -> new DispatchPolicy.Backend(
+            i * 0x9E3779B97F4A7C15L, i % 2, 0, i / 4, BackendState.READY, i % 2 == 0 ? 0 : coldStartedAtMicros)).toList());
+        policy = new DefaultDispatchPolicy(settings, 7, this);
         policy.backendsListed(nowMicros, ListUpdate.FULL, backends);
     }
 
+    /** Handles one request on the simulated clock, with all timers and attempts that are due. */
     @Benchmark public int job() {
         nowMicros += ARRIVAL_INTERVAL_MICROS;
         while (!timers.isEmpty() && timers.peek().firesAt <= nowMicros) {
@@ -94,29 +97,33 @@
             policy.attemptEnded(nowMicros, done.requestId, 0, done.backendId, Outcome.SERVED, true, null);
             startSentAttempts();
         }
-        policy.requestReceived(nowMicros, new DispatchPolicy.Request(job++, 0, 0, 1, 0, 10_000_000));
+        policy.requestReceived(nowMicros, new DispatchPolicy.Request(nextRequestId++, 0, 0, 1, 0, 10_000_000));
         startSentAttempts();
         while (!pendingProbes.isEmpty()) {
-            long id = pendingProbes.poll();
-            boolean cold = backends.get((int) Long.remainderUnsigned(id * 0xF1DE83E19937733DL, runners)).startedAtMicros() > 0;
+            long backendId = pendingProbes.poll();
+            // Multiplying by the inverse of the factor in setUp, modulo 2^64, gives the index of the backend.
+            boolean cold = backends.get((int) Long.remainderUnsigned(backendId * 0xF1DE83E19937733DL, runners))
+                .startedAtMicros() > 0;
             report.freeSlots = fleet.equals("free") || cold ? 4 : 0;
-            policy.probeEnded(nowMicros, id, true, report);
+            policy.probeEnded(nowMicros, backendId, true, report);
             startSentAttempts();
         }
         return runningAttempts.size();
     }
 
+    /** Handles a delta that lists one backend again. */
     @Benchmark public int oneWorkersNews() {
         nowMicros += ARRIVAL_INTERVAL_MICROS;
-        policy.backendsListed(nowMicros, ListUpdate.DELTA, List.of(backends.get((int) (nowMicros / ARRIVAL_INTERVAL_MICROS % runners))));
+        policy.backendsListed(nowMicros, ListUpdate.DELTA, List.of(backends.get(
+            (int) (nowMicros / ARRIVAL_INTERVAL_MICROS % runners))));
         return runners;
     }
 
-    @Override public void send(long id, long worker) {
-        unstartedAttempts.add(new SimulatedAttempt(nowMicros + RUN_MICROS, id, worker));
+    @Override public void send(long requestId, long backendId) {
+        unstartedAttempts.add(new SimulatedAttempt(nowMicros + RUN_MICROS, requestId, backendId));
     }
 
-    /** What was sent starts once the event that sent it has been dealt with, as in the engine. */
+    /** Reports sent attempts as started. As in the engine, this follows the event in which they were sent. */
     private void startSentAttempts() {
         for (SimulatedAttempt next = unstartedAttempts.poll(); next != null; next = unstartedAttempts.poll()) {
             runningAttempts.add(next);
@@ -124,21 +131,21 @@
         }
     }
 
-    @Override public void startTimer(long delay, int token) {
-        timers.add(new PendingTimer(nowMicros + delay, token));
+    @Override public void startTimer(long delayMicros, int token) {
+        timers.add(new PendingTimer(nowMicros + delayMicros, token));
     }
 
-    @Override public void probe(long worker) {
-        pendingProbes.add(worker);
+    @Override public void probe(long backendId) {
+        pendingProbes.add(backendId);
     }
 
-    @Override public void refuse(long id, long comeBack) { }
+    @Override public void refuse(long requestId, long retryAfterMicros) { }
 
-    @Override public void fail(long id) { }
+    @Override public void fail(long requestId) { }
 
-    @Override public void cancel(long id, int attempt) { }
+    @Override public void cancel(long requestId, int attemptNumber) { }
 
-    @Override public void closeIdleConnections(long worker) { }
+    @Override public void closeIdleConnections(long backendId) { }
 
     @Override public void watchBackendList() { }
 
--- a/src/bench/java/badgermux/bench/JudgeBench.java
+++ b/src/bench/java/badgermux/bench/JudgeBench.java
@@ -1,7 +1,7 @@
 package badgermux.bench;
 
-import badgermux.contract.ContractSet;
 import badgermux.contract.ApiDescription;
+import badgermux.contract.ContractSet;
 import badgermux.contract.Document;
 import badgermux.contract.HttpRequest;
 import com.networknt.schema.Schema;
@@ -23,7 +23,10 @@
 import org.openjdk.jmh.annotations.Warmup;
 import tools.jackson.databind.json.JsonMapper;
 
-/** A judged request beside the bare validator library on the same schema and body: both read the bytes and validate. */
+/**
+ * Compares the validation of a whole request with the validator library alone, on the same schema and body. Both parse the
+ * bytes and validate.
+ */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
@@ -31,20 +34,21 @@
 @Measurement(iterations = 5, time = 1)
 @Fork(1)
 public class JudgeBench {
-    private static final String SCHEMA = "{\"type\":\"object\",\"required\":[\"story\",\"blocks\"],\"additionalProperties\":false,"
+    private static final String SCHEMA = "{\"type\":\"object\",\"required\":[\"story\",\"blocks\"],"
+        + "\"additionalProperties\":false,"
         + "\"properties\":{\"story\":{\"type\":\"string\",\"maxLength\":12},\"headline\":{\"type\":\"string\",\"maxLength\":200},"
         + "\"blocks\":{\"type\":\"array\",\"maxItems\":2000,\"items\":{\"type\":\"object\",\"required\":[\"kind\",\"text\"],"
         + "\"properties\":{\"kind\":{\"enum\":[\"text\",\"box\"]},\"text\":{\"type\":\"string\",\"maxLength\":20000},"
         + "\"weight\":{\"type\":\"number\",\"minimum\":0}}}}}}";
 
-    /** How long the body is about, in bytes. */
+    /** Approximate length of the body in bytes. */
     @Param({"200", "65536"})
     public int size;
 
     private byte[] body;
     private ContractSet contracts;
     private HttpRequest request;
-    private Schema bare;
+    private Schema schema;
     private final JsonMapper mapper = new JsonMapper();
 
     @Setup public void setUp() throws Exception {
@@ -55,26 +59,27 @@
             text.append(',').append(block);
         }
         body = text.append("]}").toString().getBytes(StandardCharsets.UTF_8);
-        String description = "{\"openapi\":\"3.1.0\",\"paths\":{\"/publish/{paper}\":{\"post\":{\"parameters\":[{\"name\":\"paper\","
-            + "\"in\":\"path\",\"required\":true,\"schema\":{\"type\":\"string\"}}],\"requestBody\":{\"content\":{\"application/json\":"
-            + "{\"schema\":" + SCHEMA + "}}}}}}}";
+        String description = "{\"openapi\":\"3.1.0\",\"paths\":{\"/publish/{paper}\":{\"post\":{"
+            + "\"parameters\":[{\"name\":\"paper\","
+            + "\"in\":\"path\",\"required\":true,\"schema\":{\"type\":\"string\"}}],\"requestBody\":{\"content\":"
+            + "{\"application/json\":{\"schema\":" + SCHEMA + "}}}}}}}";
         contracts = ContractSet.of(1, List.of(ApiDescription.compile("d",
             Document.read("d", description.getBytes(StandardCharsets.UTF_8)), List.of())), false);
         request = new HttpRequest("POST", "/publish/nhan-dan",
             name -> name.equals("Content-Type") ? List.of("application/json") : List.of(), body);
-        bare = SchemaRegistry.withDefaultDialect(Dialects.getOpenApi31()).getSchema(SCHEMA);
+        schema = SchemaRegistry.withDefaultDialect(Dialects.getOpenApi31()).getSchema(SCHEMA);
         if (!judged() || !bare()) {
             throw new IllegalStateException("the body does not conform");
         }
     }
 
-    /** Route, parameter, strict reading and validation, with steps counted. */
+    /** Route lookup, parameter check, strict parsing and validation with a limit on its steps. */
     @Benchmark public boolean judged() {
         return contracts.validate(request).result().conforms();
     }
 
-    /** Reading and validation by the libraries as they come. */
+    /** Parsing and validation by the libraries with their defaults. */
     @Benchmark public boolean bare() {
-        return bare.validate(mapper.readTree(body)).isEmpty();
+        return schema.validate(mapper.readTree(body)).isEmpty();
     }
 }
--- a/src/bench/java/badgermux/bench/RouteBench.java
+++ b/src/bench/java/badgermux/bench/RouteBench.java
@@ -1,7 +1,7 @@
 package badgermux.bench;
 
-import badgermux.contract.ContractSet;
 import badgermux.contract.ApiDescription;
+import badgermux.contract.ContractSet;
 import badgermux.contract.Document;
 import badgermux.contract.HttpRequest;
 import java.nio.charset.StandardCharsets;
@@ -19,7 +19,7 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** A look-up among so many routes, by a request that no body and no parameter but its path's is judged of. */
+/** Measures the lookup of a route by a request of which only the path parameter is validated. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -27,7 +27,7 @@
 @Measurement(iterations = 5, time = 1)
 @Fork(1)
 public class RouteBench {
-    /** How many routes there are. */
+    /** Number of routes. */
     @Param({"10", "1000", "10000"})
     public int routes;
 
--- a/src/bench/java/badgermux/bench/Saturate.java
+++ b/src/bench/java/badgermux/bench/Saturate.java
@@ -33,20 +33,24 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Requests a second and latencies through the real jar, with and without a description, in turns in one run; then the
- * latencies of small requests while a description of 13 MB is set and first used. Closed loop for the rate, an open loop
- * of intended times for the latencies. All on loopback: stand-in backends and a discovery service that knows no news.
- * Arguments: JAR SECONDS ROUNDS, or {@code pair} OLD NEW SECONDS ROUNDS for the rates of two jars without anything set.
+ * Measures the throughput of the built jar with and without an API description, alternating within one run, and then the
+ * latencies of small requests, also while a description of 13 MB is installed and first used. Throughput is measured with a
+ * closed loop; latencies are measured with an open loop, from the intended send times. Everything runs on loopback, with
+ * stub backends and a stub discovery service that never answers.
+ * Arguments: JAR SECONDS ROUNDS, or {@code pair} OLD NEW SECONDS ROUNDS to compare the throughput of two jars without
+ * descriptions.
  */
 public final class Saturate {
     private static final String SETTINGS = "{\"Zone\":0,\"FailureDomains\":[\"east\"],\"Kinds\":[\"k\"],\"Discovery\":"
         + "\"on_request\",\"Report\":{\"How\":\"silent\",\"Columns\":[]},\"Customers\":[],\"Ceilings\":{\"MaxAttempts\":3,"
         + "\"Cancel\":true,\"RetryAfter\":true,\"MaxRetryAfterMs\":2000,\"ConnIdleMs\":15000,\"ConnectTimeoutMs\":250},"
         + "\"RequestClasses\":[{\"Name\":\"preview\",\"Effect\":\"repeatable\",\"TargetMs\":4000,\"GiveUpMs\":5000}]}";
-    private static final String SMALL_DESCRIPTION = "{\"openapi\":\"3.1.0\",\"paths\":{\"/preview/{paper}\":{\"post\":{\"parameters\":["
-        + "{\"name\":\"paper\",\"in\":\"path\",\"required\":true,\"schema\":{\"type\":\"string\"}}],\"requestBody\":{\"content\":"
-        + "{\"application/json\":{\"schema\":{\"type\":\"object\",\"required\":[\"a\"],\"properties\":{\"a\":{\"type\":\"integer\"},"
-        + "\"name\":{\"type\":\"string\",\"maxLength\":64},\"tags\":{\"type\":\"array\",\"items\":{\"type\":\"string\"}}}}}}}}}}}";
+    private static final String SMALL_DESCRIPTION = "{\"openapi\":\"3.1.0\",\"paths\":{\"/preview/{paper}\":{\"post\":{"
+        + "\"parameters\":[{\"name\":\"paper\",\"in\":\"path\",\"required\":true,\"schema\":{\"type\":\"string\"}}],"
+        + "\"requestBody\":{\"content\":"
+        + "{\"application/json\":{\"schema\":{\"type\":\"object\",\"required\":[\"a\"],"
+        + "\"properties\":{\"a\":{\"type\":\"integer\"},\"name\":{\"type\":\"string\",\"maxLength\":64},"
+        + "\"tags\":{\"type\":\"array\",\"items\":{\"type\":\"string\"}}}}}}}}}}}";
     private static final byte[] REQUEST_BODY = "{\"a\":1,\"name\":\"a story's name\",\"tags\":[\"x\",\"y\",\"z\"]}"
         .getBytes(StandardCharsets.UTF_8);
 
@@ -57,7 +61,7 @@
 
     private Saturate() { }
 
-    /** One dispatcher under test. */
+    /** A running dispatcher; {@code adminPort} is 0 without an admin API. */
     private record Dispatcher(Process process, int port, int adminPort) { }
 
     public static void main(String[] args) throws Exception {
@@ -69,29 +73,31 @@
         System.exit(0);
     }
 
-    /** What the second jar serves of the first one's rate, in turns. */
-    private void compareJars(String old, String fresh, int seconds, int rounds) throws Exception {
+    /** Measures two jars alternately and prints the ratio of the new jar's throughput to the old one's. */
+    private void compareJars(String oldJar, String newJar, int seconds, int rounds) throws Exception {
         String members = startBackends();
         int discovery = startStub(false);
-        Dispatcher before = start(old, members, discovery, false);
-        Dispatcher after = start(fresh, members, discovery, false);
-        measureRate(before, seconds);
-        measureRate(after, seconds);
-        List<Double> one = new ArrayList<>();
-        List<Double> two = new ArrayList<>();
+        Dispatcher oldDispatcher = start(oldJar, members, discovery, false);
+        Dispatcher newDispatcher = start(newJar, members, discovery, false);
+        measureRate(oldDispatcher, seconds);
+        measureRate(newDispatcher, seconds);
+        List<Double> oldRates = new ArrayList<>();
+        List<Double> newRates = new ArrayList<>();
         List<Double> ratios = new ArrayList<>();
         for (int i = 0; i < rounds; i++) {
-            one.add(measureRate(before, seconds));
-            two.add(measureRate(after, seconds));
-            ratios.add(two.get(i) / one.get(i));
+            oldRates.add(measureRate(oldDispatcher, seconds));
+            newRates.add(measureRate(newDispatcher, seconds));
+            ratios.add(newRates.get(i) / oldRates.get(i));
         }
         System.out.printf(Locale.ROOT, "requests a second: old %.0f, new %.0f, ratio %.3f (median of %d rounds, %.3f to %.3f), "
-            + "answers other than 200: %d%n", median(one), median(two), median(ratios), rounds,
-            ratios.stream().min(Double::compare).orElseThrow(), ratios.stream().max(Double::compare).orElseThrow(), non200Count.get());
-        before.process.destroy();
-        after.process.destroy();
+            + "responses other than 200: %d%n", median(oldRates), median(newRates), median(ratios),
+            rounds, ratios.stream().min(Double::compare).orElseThrow(),
+            ratios.stream().max(Double::compare).orElseThrow(), non200Count.get());
+        oldDispatcher.process.destroy();
+        newDispatcher.process.destroy();
     }
 
+    /** Starts eight stub backends and returns their entries for the backend list. */
     private String startBackends() throws InterruptedException {
         StringBuilder members = new StringBuilder();
         for (int i = 0; i < 8; i++) {
@@ -103,48 +109,52 @@
         return members.toString();
     }
 
+    /** Measures throughput without and with a small description, then latencies while a large one is installed. */
     private void measureContracts(String jar, int seconds, int rounds) throws Exception {
         String members = startBackends();
         int discovery = startStub(false);
         Dispatcher without = start(jar, members, discovery, false);
         Dispatcher with = start(jar, members, discovery, true);
         putDescription(with, "small", SMALL_DESCRIPTION);
-        List<Double> plain = new ArrayList<>();
-        List<Double> judged = new ArrayList<>();
+        List<Double> ratesWithout = new ArrayList<>();
+        List<Double> ratesWith = new ArrayList<>();
         List<Double> ratios = new ArrayList<>();
         measureRate(without, seconds);
         measureRate(with, seconds);
         for (int i = 0; i < rounds; i++) {
-            plain.add(measureRate(without, seconds));
-            judged.add(measureRate(with, seconds));
-            ratios.add(judged.get(i) / plain.get(i));
+            ratesWithout.add(measureRate(without, seconds));
+            ratesWith.add(measureRate(with, seconds));
+            ratios.add(ratesWith.get(i) / ratesWithout.get(i));
         }
-        System.out.printf(Locale.ROOT, "requests a second: without %.0f, with a description %.0f, ratio %.3f (median of %d "
-            + "rounds), answers other than 200: %d%n", median(plain), median(judged), median(ratios), rounds, non200Count.get());
+        System.out.printf(Locale.ROOT, "requests a second: without a description %.0f, with one %.0f, ratio %.3f (median of %d "
+            + "rounds), responses other than 200: %d%n", median(ratesWithout), median(ratesWith),
+            median(ratios), rounds, non200Count.get());
         measureLatencies(with, 4_000, () -> { });
-        System.out.println("calm: " + measureLatencies(with, 10_000, () -> { }));
+        System.out.println("latency before the large description: " + measureLatencies(with, 10_000, () -> { }));
         String big = BigDescription.generate(1000, 13 << 20).replace("/preview/r", "/preview/big/r");
-        long[] took = new long[1];
+        long[] installNanos = new long[1];
         Path file = Files.writeString(Files.createTempFile("big", ".json"), big);
         System.gc();
-        System.out.println("while 13 MB are set and first used: " + measureLatencies(with, 15_000, () -> {
-            long from = System.nanoTime();
+        System.out.println("latency while a description of 13 MB is installed and first used: "
+            + measureLatencies(with, 15_000, () -> {
+            long startNanos = System.nanoTime();
             putFromOtherProcess(with, file);
-            took[0] = System.nanoTime() - from;
+            installNanos[0] = System.nanoTime() - startNanos;
             for (int i = 0; i < 20; i++) {
                 sendOne(with, "/preview/big/r" + i * 37 + "/x", "{\"a\":1,\"next\":{\"a\":2,\"list\":[{\"a\":3}]}}");
             }
         }));
-        System.out.printf(Locale.ROOT, "setting it took %.2f s%n", took[0] / 1e9);
+        System.out.printf(Locale.ROOT, "installing it took %.2f s%n", installNanos[0] / 1e9);
         without.process.destroy();
         with.process.destroy();
     }
 
-    private static double median(List<Double> of) {
-        return of.stream().sorted().skip(of.size() / 2).findFirst().orElseThrow();
+    private static double median(List<Double> values) {
+        return values.stream().sorted().skip(values.size() / 2).findFirst().orElseThrow();
     }
 
-    private static Dispatcher start(String jar, String members, int discovery, boolean admin) throws IOException {
+    /** Starts a dispatcher process and waits until it listens. */
+    private static Dispatcher start(String jar, String members, int discoveryPort, boolean admin) throws IOException {
         Path config = Files.createTempFile("saturate", ".json");
         Files.writeString(config, "{\"name\":\"n\",\"seed\":\"1f\",\"limits\":{\"sockets\":1024,\"memory_mb\":192},\"known\":{"
             + "\"revision\":1,\"complete\":true,\"members\":[" + members + "]},\"settings\":" + SETTINGS + "}");
@@ -153,7 +163,7 @@
             command.addAll(List.of("--admin", "127.0.0.1:0"));
         }
         ProcessBuilder builder = new ProcessBuilder(command);
-        builder.environment().putAll(java.util.Map.of("GW_LISTEN", "127.0.0.1:0", "GW_DISCOVERY", "127.0.0.1:" + discovery,
+        builder.environment().putAll(java.util.Map.of("GW_LISTEN", "127.0.0.1:0", "GW_DISCOVERY", "127.0.0.1:" + discoveryPort,
             "GW_CONFIG", config.toString()));
         builder.redirectOutput(ProcessBuilder.Redirect.DISCARD);
         Process process = builder.start();
@@ -164,54 +174,55 @@
             if (port > 0 && line.contains("admin")) {
                 adminPort = port;
             } else if (port > 0) {
-                Thread drain = new Thread(() -> log.lines().forEach(rest -> { }));
-                drain.setDaemon(true);
-                drain.start();
+                // Keeps reading the log: the process would block on a full pipe.
+                Thread logReader = new Thread(() -> log.lines().forEach(discarded -> { }));
+                logReader.setDaemon(true);
+                logReader.start();
                 return new Dispatcher(process, port, adminPort);
             }
         }
-        throw new IOException("the program did not start");
+        throw new IOException("the dispatcher ended before it listened");
     }
 
-    private static void putDescription(Dispatcher to, String name, String text) {
+    private static void putDescription(Dispatcher dispatcher, String name, String text) {
         try {
-            HttpURLConnection call = (HttpURLConnection) URI.create("http://127.0.0.1:" + to.adminPort + "/v1/contracts/" + name)
-                .toURL().openConnection();
-            call.setRequestMethod("PUT");
-            call.setDoOutput(true);
-            call.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
-            if (call.getResponseCode() != 201) {
-                throw new IOException("PUT " + name + ": " + call.getResponseCode());
+            HttpURLConnection connection = (HttpURLConnection) URI.create("http://127.0.0.1:" + dispatcher.adminPort
+                + "/v1/contracts/" + name).toURL().openConnection();
+            connection.setRequestMethod("PUT");
+            connection.setDoOutput(true);
+            connection.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
+            if (connection.getResponseCode() != 201) {
+                throw new IOException("PUT " + name + ": " + connection.getResponseCode());
             }
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    /** By a process of its own: this one's collections must not count. */
-    private static void putFromOtherProcess(Dispatcher to, Path file) {
+    /** Installs a description by curl: garbage collections of this process would distort the measured latencies. */
+    private static void putFromOtherProcess(Dispatcher dispatcher, Path file) {
         try {
             int status = new ProcessBuilder("curl", "-sf", "-o", "/dev/null", "-T", file.toString(), "http://127.0.0.1:"
-                + to.adminPort + "/v1/contracts/big").start().waitFor();
+                + dispatcher.adminPort + "/v1/contracts/big").start().waitFor();
             if (status != 0) {
-                throw new IOException("curl ended with " + status);
+                throw new IOException("curl exited with status " + status);
             }
         } catch (IOException | InterruptedException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    private void sendOne(Dispatcher to, String path, String body) {
+    private void sendOne(Dispatcher dispatcher, String path, String body) {
         try {
-            HttpURLConnection call = (HttpURLConnection) URI.create("http://127.0.0.1:" + to.port + path).toURL()
-                .openConnection();
-            call.setRequestMethod("POST");
-            call.setDoOutput(true);
-            call.setRequestProperty("X-Request-ID", String.format("%016x", lastRequestId.incrementAndGet()));
-            call.setRequestProperty("Content-Type", "application/json");
-            call.getOutputStream().write(body.getBytes(StandardCharsets.UTF_8));
-            if (call.getResponseCode() != 200) {
-                throw new IOException(path + ": " + call.getResponseCode());
+            HttpURLConnection connection = (HttpURLConnection) URI.create("http://127.0.0.1:" + dispatcher.port + path)
+                .toURL().openConnection();
+            connection.setRequestMethod("POST");
+            connection.setDoOutput(true);
+            connection.setRequestProperty("X-Request-ID", String.format("%016x", lastRequestId.incrementAndGet()));
+            connection.setRequestProperty("Content-Type", "application/json");
+            connection.getOutputStream().write(body.getBytes(StandardCharsets.UTF_8));
+            if (connection.getResponseCode() != 200) {
+                throw new IOException(path + ": " + connection.getResponseCode());
             }
         } catch (IOException e) {
             throw new IllegalStateException(e);
@@ -220,55 +231,61 @@
 
     // ---- Load
 
-    private double measureRate(Dispatcher on, int seconds) throws InterruptedException {
-        List<Channel> channels = connect(on, 32, null);
+    /** Returns the requests a second that 32 connections in a closed loop achieve. */
+    private double measureRate(Dispatcher dispatcher, int seconds) throws InterruptedException {
+        List<Channel> channels = connect(dispatcher, 32, null);
         TimeUnit.MILLISECONDS.sleep(500);
-        long before = responseCount.get();
-        long from = System.nanoTime();
+        long responsesBefore = responseCount.get();
+        long startNanos = System.nanoTime();
         TimeUnit.SECONDS.sleep(seconds);
-        double rate = (responseCount.get() - before) * 1e9 / (System.nanoTime() - from);
+        double rate = (responseCount.get() - responsesBefore) * 1e9 / (System.nanoTime() - startNanos);
         for (Channel channel : channels) {
             channel.close().sync();
         }
         return rate;
     }
 
-    private List<Channel> connect(Dispatcher to, int count, Histogram histogram) throws InterruptedException {
+    /** Opens connections; without a histogram they run a closed loop. */
+    private List<Channel> connect(Dispatcher dispatcher, int count, Histogram histogram) throws InterruptedException {
         List<Channel> channels = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             Channel channel = new Bootstrap().group(eventLoops).channel(NioSocketChannel.class)
-                .handler(new LoadConnection(histogram == null, histogram)).connect("127.0.0.1", to.port).sync().channel();
+                .handler(new LoadConnection(histogram == null, histogram))
+                .connect("127.0.0.1", dispatcher.port).sync().channel();
             channels.add(channel);
         }
         return channels;
     }
 
-    /** So many requests, one a millisecond on 16 connections in turn, each timed from when it was meant to go. */
-    private String measureLatencies(Dispatcher on, int count, Runnable meanwhile) throws InterruptedException {
+    /**
+     * Sends one request a millisecond on 16 connections in turn while another thread runs a task. Latencies count from the
+     * intended send times, so that a stall is not hidden by requests that are sent late.
+     */
+    private String measureLatencies(Dispatcher dispatcher, int count, Runnable concurrentTask) throws InterruptedException {
         Histogram histogram = new ConcurrentHistogram(60_000_000L, 3);
-        List<Channel> channels = connect(on, 16, histogram);
-        Thread other = new Thread(meanwhile);
-        other.start();
-        long from = System.nanoTime() + 1_000_000;
+        List<Channel> channels = connect(dispatcher, 16, histogram);
+        Thread taskThread = new Thread(concurrentTask);
+        taskThread.start();
+        long startNanos = System.nanoTime() + 1_000_000;
         for (int i = 0; i < count; i++) {
-            long at = from + i * 1_000_000L;
-            while (System.nanoTime() < at) {
+            long intendedNanos = startNanos + i * 1_000_000L;
+            while (System.nanoTime() < intendedNanos) {
                 Thread.onSpinWait();
             }
             Channel channel = channels.get(i % channels.size());
-            channel.eventLoop().execute(() -> channel.pipeline().get(LoadConnection.class).request(at));
+            channel.eventLoop().execute(() -> channel.pipeline().get(LoadConnection.class).request(intendedNanos));
         }
-        other.join();
+        taskThread.join();
         TimeUnit.MILLISECONDS.sleep(500);
         for (Channel channel : channels) {
             channel.close().sync();
         }
-        return String.format(Locale.ROOT, "%d requests, p50 %.2f ms, p99 %.2f ms, p99.9 %.2f ms, worst %.2f ms",
+        return String.format(Locale.ROOT, "%d requests, p50 %.2f ms, p99 %.2f ms, p99.9 %.2f ms, max %.2f ms",
             histogram.getTotalCount(), histogram.getValueAtPercentile(50) / 1e3, histogram.getValueAtPercentile(99) / 1e3,
             histogram.getValueAtPercentile(99.9) / 1e3, histogram.getMaxValue() / 1e3);
     }
 
-    /** A client's connection: closed loop, or one request when it is told to, timed. */
+    /** A client connection that sends requests in a closed loop, or sends requested ones and records their latencies. */
     private final class LoadConnection extends ChannelInboundHandlerAdapter implements MessageReader.Listener {
         private final MessageReader reader = new MessageReader(true, 65_536, this);
         private final java.util.ArrayDeque<Long> intendedSendTimes = new java.util.ArrayDeque<>();
@@ -288,8 +305,9 @@
             }
         }
 
-        void request(long meantFor) {
-            intendedSendTimes.add(meantFor);
+        /** Sends a request, or queues it while another is in flight. */
+        void request(long intendedNanos) {
+            intendedSendTimes.add(intendedNanos);
             if (intendedSendTimes.size() == 1) {
                 writeRequest();
             }
@@ -297,17 +315,18 @@
 
         private void writeRequest() {
             context.writeAndFlush(Unpooled.wrappedBuffer(("POST /preview/nhan-dan HTTP/1.1\r\nHost: h\r\nX-Request-ID: "
-                + String.format("%016x", lastRequestId.incrementAndGet()) + "\r\nX-Timeout: 5000m\r\nContent-Type: application/json\r\n"
-                + "Content-Length: " + REQUEST_BODY.length + "\r\n\r\n").getBytes(StandardCharsets.ISO_8859_1), REQUEST_BODY));
+                + String.format("%016x", lastRequestId.incrementAndGet()) + "\r\nX-Timeout: 5000m\r\n"
+                + "Content-Type: application/json\r\nContent-Length: " + REQUEST_BODY.length + "\r\n\r\n")
+                .getBytes(StandardCharsets.ISO_8859_1), REQUEST_BODY));
         }
 
         @Override public void channelRead(ChannelHandlerContext ctx, Object message) throws InvalidMessageException {
             ByteBuf in = (ByteBuf) message;
             while (in.isReadable() && reader.read(in)) {
                 responseCount.incrementAndGet();
-                long meantFor = intendedSendTimes.remove();
+                long intendedNanos = intendedSendTimes.remove();
                 if (histogram != null) {
-                    histogram.recordValue((System.nanoTime() - meantFor) / 1000);
+                    histogram.recordValue((System.nanoTime() - intendedNanos) / 1000);
                 }
                 if (closedLoop) {
                     request(0);
@@ -327,33 +346,34 @@
         @Override public void onBody(byte[] bytes) { }
     }
 
-    // ---- Stand-ins
+    // ---- Stubs
 
-    private int startStub(boolean backend) throws InterruptedException {
+    /** Starts a stub backend or a stub discovery service and returns its port. */
+    private int startStub(boolean isBackend) throws InterruptedException {
         Channel channel = new ServerBootstrap().group(eventLoops).channel(NioServerSocketChannel.class)
             .childHandler(new ChannelInitializer<SocketChannel>() {
                 @Override protected void initChannel(SocketChannel ch) {
-                    ch.pipeline().addLast(new StubHandler(backend));
+                    ch.pipeline().addLast(new StubHandler(isBackend));
                 }
             }).bind("127.0.0.1", 0).sync().channel();
         return ((InetSocketAddress) channel.localAddress()).getPort();
     }
 
-    /** A backend that is done at once, or a discovery service that never has news. */
+    /** A connection to a backend that completes requests at once, or to a discovery service that never answers. */
     private static final class StubHandler extends ChannelInboundHandlerAdapter implements MessageReader.Listener {
         private final MessageReader reader = new MessageReader(false, 65_536, this);
-        private final boolean backend;
-        private String id;
+        private final boolean isBackend;
+        private String requestId;
 
-        StubHandler(boolean backend) {
-            this.backend = backend;
+        StubHandler(boolean isBackend) {
+            this.isBackend = isBackend;
         }
 
         @Override public void channelRead(ChannelHandlerContext ctx, Object message) throws InvalidMessageException {
             ByteBuf in = (ByteBuf) message;
             while (in.isReadable() && reader.read(in)) {
-                if (backend) {
-                    byte[] line = ("{\"id\":\"" + id + "\",\"from\":\"s\",\"state\":\"done\",\"result\":\"r\"}\n")
+                if (isBackend) {
+                    byte[] line = ("{\"id\":\"" + requestId + "\",\"from\":\"s\",\"state\":\"done\",\"result\":\"r\"}\n")
                         .getBytes(StandardCharsets.UTF_8);
                     ctx.writeAndFlush(Unpooled.wrappedBuffer(("HTTP/1.1 200 OK\r\nContent-Length: " + line.length + "\r\n\r\n")
                         .getBytes(StandardCharsets.ISO_8859_1), line));
@@ -363,7 +383,7 @@
         }
 
         @Override public void onHead(MessageHead head) {
-            id = head.get("X-Request-ID");
+            requestId = head.get("X-Request-ID");
         }
 
         @Override public void onBody(byte[] bytes) { }
--- a/src/bench/java/badgermux/capacity/MeasureModule.java
+++ b/src/bench/java/badgermux/capacity/MeasureModule.java
@@ -1,15 +1,15 @@
 package badgermux.capacity;
 
-import badgermux.core.ResponseListener;
+import badgermux.core.BackendClient;
 import badgermux.core.Deadlines;
 import badgermux.core.Engine;
-import badgermux.core.BackendClient;
+import badgermux.core.ResponseListener;
+import badgermux.decide.DefaultDispatchPolicy;
 import badgermux.decide.DispatchPolicy;
 import badgermux.decide.DispatchPolicy.ListUpdate;
-import badgermux.decide.DefaultDispatchPolicy;
 import badgermux.discovery.BackendListCodec;
-import badgermux.http.MessageEncoder;
 import badgermux.http.ForwardedRequest;
+import badgermux.http.MessageEncoder;
 import badgermux.metrics.Metrics;
 import com.google.gson.GsonBuilder;
 import com.google.gson.JsonParser;
--- a/src/bench/java/badgermux/capacity/PolicyHarness.java
+++ b/src/bench/java/badgermux/capacity/PolicyHarness.java
@@ -1,11 +1,11 @@
 package badgermux.capacity;
 
+import badgermux.decide.DefaultDispatchPolicy;
 import badgermux.decide.DispatchPolicy;
+import badgermux.decide.DispatchPolicy.BackendState;
 import badgermux.decide.DispatchPolicy.Effect;
 import badgermux.decide.DispatchPolicy.ListUpdate;
 import badgermux.decide.DispatchPolicy.Outcome;
-import badgermux.decide.DispatchPolicy.BackendState;
-import badgermux.decide.DefaultDispatchPolicy;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Comparator;
