--- a/src/main/java/badgermux/backend/AttemptExchange.java
+++ b/src/main/java/badgermux/backend/AttemptExchange.java
@@ -23,7 +23,7 @@
     /** Null until the attempt starts. */
     private PooledConnection pooledConnection;
     private final LineSplitter lineSplitter = new LineSplitter();
-    /** Null until the response has determined it. */
+    /** Null until a part of the response has shown it. */
     private Outcome outcome;
     private byte[] result;
     private LoadReport loadReport;
@@ -55,7 +55,7 @@
         pooled.connection.start(this);
     }
 
-    /** Gives the attempt up and closes its connection, if it has one. Its outcome is not reported. */
+    /** Abandons the attempt and closes its connection, if it has one. The outcome is not reported. */
     void abort() {
         if (pooledConnection != null) {
             pooledConnection.connection.abort();
@@ -102,7 +102,7 @@
             return;
         }
         JsonLine line = JsonLine.parse(bytes);
-        // An answer to another request must not reach the client.
+        // A response to another request must not reach the client.
         if (!forwardedRequest.id().equals(line.text("id"))) {
             throw new InvalidMessageException(502, "response line for another request");
         }
@@ -167,7 +167,7 @@
         reportOutcome(outcome != null ? outcome : requestWritten ? Outcome.RESET : Outcome.CONNECT_FAILED);
     }
 
-    /** Reports an outcome to the engine, once; a result that violates the contract is reported as null. */
+    /** Reports the outcome to the engine, the first time only; a result that violates the contract is reported as null. */
     private void reportOutcome(Outcome reported) {
         if (!isReported) {
             isReported = true;
--- a/src/main/java/badgermux/backend/HttpBackendClient.java
+++ b/src/main/java/badgermux/backend/HttpBackendClient.java
@@ -22,7 +22,7 @@
 public final class HttpBackendClient implements BackendClient<ForwardedRequest> {
     /** How long a probe may take; a later answer would be out of date. */
     static final long PROBE_TIMEOUT_MICROS = 500_000;
-    /** How long a connection is kept between the result and the end of the response. */
+    /** How long a connection stays open after the result while the response has not ended. */
     static final long RESPONSE_END_TIMEOUT_MICROS = 1_000_000;
     /** The part of a backend's idle timeout after which an idle connection is closed, before the backend closes it. */
     private static final double IDLE_TIMEOUT_FRACTION = 0.9;
@@ -30,7 +30,7 @@
     /** The address and the idle connections of a listed backend. */
     static final class BackendPool {
         private InetSocketAddress address;
-        /** Last used first. */
+        /** Most recently used first. */
         private final ArrayDeque<PooledConnection> idleConnections = new ArrayDeque<>();
 
         /** Returns the value of the header Host. */
@@ -88,20 +88,20 @@
     }
 
     /** Adds a backend or sets its address. A changed address closes idle connections and withdraws unsent attempts. */
-    public void setAddress(long id, InetSocketAddress address) {
-        BackendPool pool = pools.computeIfAbsent(id, key -> new BackendPool());
+    public void setAddress(long backendId, InetSocketAddress address) {
+        BackendPool pool = pools.computeIfAbsent(backendId, key -> new BackendPool());
         if (!address.equals(pool.address)) {
             pool.address = address;
             closeIdleIn(pool);
-            withdrawUnsentAttempts(id);
+            withdrawUnsentAttempts(backendId);
         }
     }
 
     /** Removes a backend that is no longer listed. Attempts that have been sent may end; no new ones start. */
-    public void removeBackend(long id) {
-        closeIdleConnections(id);
-        withdrawUnsentAttempts(id);
-        pools.remove(id);
+    public void removeBackend(long backendId) {
+        closeIdleConnections(backendId);
+        withdrawUnsentAttempts(backendId);
+        pools.remove(backendId);
     }
 
     /**
@@ -109,43 +109,43 @@
      * client has left: when the event loop is late, the client's disconnect may be in the same round of input as the event
      * that caused the attempt (the request, or the outcome of another attempt), and be read after it.
      */
-    @Override public void startAttempt(long attempt, long id, ForwardedRequest payload, long deadlineMicros) {
-        BackendPool pool = pools.get(id);
+    @Override public void startAttempt(long attemptId, long backendId, ForwardedRequest payload, long deadlineMicros) {
+        BackendPool pool = pools.get(backendId);
         if (pool == null) {
-            engine.attemptEnded(attempt, DispatchPolicy.Outcome.CONNECT_FAILED, null, null);
+            engine.attemptEnded(attemptId, DispatchPolicy.Outcome.CONNECT_FAILED, null, null);
             return;
         }
-        AttemptExchange exchange = new AttemptExchange(payload, pool, deadlineMicros, attempt, this);
-        attempts.put(attempt, exchange);
-        afterInput.execute(() -> startExchange(attempt, exchange));
+        AttemptExchange exchange = new AttemptExchange(payload, pool, deadlineMicros, attemptId, this);
+        attempts.put(attemptId, exchange);
+        afterInput.execute(() -> startExchange(attemptId, exchange));
     }
 
-    private void startExchange(long attempt, AttemptExchange exchange) {
-        if (attempts.get(attempt) != exchange) {
+    private void startExchange(long attemptId, AttemptExchange exchange) {
+        if (attempts.get(attemptId) != exchange) {
             return;     // aborted or withdrawn since
         }
         PooledConnection pooled = acquireConnection(exchange.pool());
         if (pooled == null) {
             // MOOT and not a failure, which could eject the backend for this process's lack of connections.
-            attempts.remove(attempt);
-            engine.attemptEnded(attempt, DispatchPolicy.Outcome.MOOT, null, null);
+            attempts.remove(attemptId);
+            engine.attemptEnded(attemptId, DispatchPolicy.Outcome.MOOT, null, null);
         } else {
             exchange.startOn(pooled);
         }
     }
 
-    @Override public void abort(long attempt) {
-        AttemptExchange exchange = attempts.remove(attempt);
+    @Override public void abort(long attemptId) {
+        AttemptExchange exchange = attempts.remove(attemptId);
         if (exchange != null) {
             exchange.abort();
         }
     }
 
-    @Override public boolean withdraw(long attempt) {
-        AttemptExchange exchange = attempts.get(attempt);
+    @Override public boolean withdraw(long attemptId) {
+        AttemptExchange exchange = attempts.get(attemptId);
         boolean isUnsent = exchange != null && !exchange.hasStartedWriting();
         if (isUnsent) {
-            abort(attempt);
+            abort(attemptId);
         }
         return isUnsent;
     }
@@ -155,17 +155,18 @@
      * Otherwise a connection that is established late could take an attempt to a backend that is draining, has been removed
      * or has another address.
      */
-    public void withdrawUnsentAttempts(long id) {
-        BackendPool pool = pools.get(id);
-        attempts.entrySet().stream().filter(e -> e.getValue().pool() == pool && !e.getValue().hasStartedWriting())
+    public void withdrawUnsentAttempts(long backendId) {
+        BackendPool pool = pools.get(backendId);
+        attempts.entrySet().stream()
+            .filter(entry -> entry.getValue().pool() == pool && !entry.getValue().hasStartedWriting())
             .map(Map.Entry::getKey).toList().forEach(engine::withdraw);
     }
 
-    @Override public void probe(long id) {
-        BackendPool pool = pools.get(id);
+    @Override public void probe(long backendId) {
+        BackendPool pool = pools.get(backendId);
         PooledConnection pooled = pool == null ? null : acquireConnection(pool);
         if (pooled == null) {
-            engine.probeEnded(id, false, null);
+            engine.probeEnded(backendId, false, null);
             return;
         }
         Deadlines.Deadline timeout = deadlines.scheduleAfter(PROBE_TIMEOUT_MICROS, pooled.connection::close);
@@ -177,12 +178,12 @@
                 // A backend may send a failure response twice; on a reused connection the second would end the next request.
                 pooled.connection.close();
             }
-            engine.probeEnded(id, isAnswered, report);
+            engine.probeEnded(backendId, isAnswered, report);
         }));
     }
 
-    @Override public void closeIdleConnections(long id) {
-        BackendPool pool = pools.get(id);
+    @Override public void closeIdleConnections(long backendId) {
+        BackendPool pool = pools.get(backendId);
         if (pool != null) {
             closeIdleIn(pool);
         }
@@ -197,8 +198,8 @@
     }
 
     /** An attempt has a result or its exchange has ended; it can no longer be aborted. */
-    void attemptSettled(long attempt) {
-        attempts.remove(attempt);
+    void attemptSettled(long attemptId) {
+        attempts.remove(attemptId);
     }
 
     /** An attempt's request has been written completely; the backend may run it. */
@@ -206,7 +207,7 @@
         metrics.increment(Count.FETCHES_WRITTEN);
     }
 
-    /** Closes the connection unless the timeout is cancelled; a backend may never end a response that has its result. */
+    /** Closes the connection unless the timeout is cancelled; a backend may never end a response whose result has come. */
     Deadlines.Deadline startResponseEndTimeout(PooledConnection pooled) {
         return deadlines.scheduleAfter(RESPONSE_END_TIMEOUT_MICROS, pooled.connection::close);
     }
@@ -215,7 +216,7 @@
         deadlines.cancel(deadline);
     }
 
-    /** Returns the last used idle connection or a new one; null if the limit is reached or no descriptor is left. */
+    /** Returns the most recently used idle connection or a new one; null if the limit is reached or no descriptor is left. */
     private PooledConnection acquireConnection(BackendPool pool) {
         for (PooledConnection pooled = pool.idleConnections.pollFirst(); pooled != null;
                 pooled = pool.idleConnections.pollFirst()) {
--- a/src/main/java/badgermux/core/Deadlines.java
+++ b/src/main/java/badgermux/core/Deadlines.java
@@ -28,7 +28,7 @@
         }
     }
 
-    /** Calls {@link #runDue} at a time. Setting a new time replaces the previous one. */
+    /** Calls {@link #runDue} at the time that was set; setting a new time replaces the previous one. */
     public interface Alarm {
         void set(long at);
     }
--- a/src/main/java/badgermux/core/Engine.java
+++ b/src/main/java/badgermux/core/Engine.java
@@ -12,15 +12,15 @@
 import org.tinylog.Logger;
 
 /**
- * Carries out the decisions of the dispatch policy and reports what happens to it. The engine tracks requests, attempts and
+ * Carries out the decisions of the dispatch policy and passes all events to it. The engine tracks requests, attempts and
  * deadlines, and is independent of the protocols of clients and backends. Not thread-safe: all calls come from the event loop.
  *
  * @param <P> the payload of a request, passed from the frontend to the backend client
  */
 public final class Engine<P> implements DispatchPolicy.Actions {
     /**
-     * An attempt ends this long before its client gives up: the client's deadline already ran while the request was on its
-     * way to this dispatcher.
+     * An attempt ends this long before its client gives up: the client's time already ran while the request was on its way
+     * to this dispatcher.
      */
     static final long ATTEMPT_MARGIN_MICROS = 30_000;
     /** A request still open this long before its client gives up fails, whatever the policy does. */
@@ -145,11 +145,11 @@
         }
         metrics.increment(Count.CLIENTS_GONE);
         closeRequest(request);
-        notifyClientGone(id);
+        notifyRequestClosed(id);
     }
 
-    /** Tells the policy that a request is closed without one of its decisions. */
-    private void notifyClientGone(long id) {
+    /** Ends a request in the policy that was closed without one of its decisions, as if its client had disconnected. */
+    private void notifyRequestClosed(long id) {
         dispatchEvent(id, () -> {
             policy.clientDisconnected(clock.getAsLong(), id);
             removeIfFinished(id);
@@ -164,7 +164,7 @@
         }
         metrics.increment(Count.ANSWERS_OVERDUE);
         failRequest(request, true);
-        notifyClientGone(id);
+        notifyRequestClosed(id);
     }
 
     // ---- Events from the backends
@@ -255,7 +255,7 @@
         PendingRequest<P> request = requests.get(id);
         if (request != null && !request.isClosed) {
             failRequest(request, true);
-            notifyClientGone(id);
+            notifyRequestClosed(id);
         }
     }
 
@@ -325,7 +325,7 @@
         openRequestCount--;
         deadlines.cancel(request.answerDeadline);
         // Unwritten attempts are withdrawn even where attempts cannot be cancelled: otherwise a connection that is established
-        // late would still send an attempt whose client has left or has its answer.
+        // late would still send an attempt whose client has disconnected or has its answer.
         for (long handle : List.copyOf(request.attemptHandles)) {
             withdraw(handle);
         }
@@ -366,7 +366,7 @@
                 if (request != null && !request.isClosed) {
                     failRequest(request, false);
                     // Otherwise the policy would keep the answered request and send it later.
-                    notifyClientGone(requestId);
+                    notifyRequestClosed(requestId);
                 }
                 removeIfFinished(requestId);
             }
--- a/src/main/java/badgermux/decide/DefaultDispatchPolicy.java
+++ b/src/main/java/badgermux/decide/DefaultDispatchPolicy.java
@@ -30,17 +30,23 @@
 public final class DefaultDispatchPolicy implements DispatchPolicy {
     /** Backends in a group: comparing two groups keeps the load small and constant (paper, section 4). */
     private static final int GROUP_SIZE = 3;
-    /** Loads closer than this tie in every case, as load reports are no more precise. */
+    /** Loads that differ by less than this always count as equal, as load reports are no more precise. */
     private static final double MIN_TIE_SLOTS = 0.5;
-    /** Loads closer than this tie where many dispatchers send between two reports. */
+    /** Load difference that counts as equal where very many dispatchers send between two reports. */
     private static final double MAX_TIE_SLOTS = 1.5;
-    /** Summed loads of two groups closer than this tie: each of the reports in them may be outdated. */
+    /**
+     * Difference between the summed loads of two groups that counts as equal: each of the reports in them may
+     * be outdated.
+     */
     private static final double GROUP_TIE_SLOTS = 1.6;
     /** Weight of a new sample in a moving average. */
     private static final double SAMPLE_WEIGHT = 0.05;
-    /** Mean runs after which all requests of a load report have ended; the decay of its weight. */
+    /**
+     * Age of a load report, in mean run times, by which all requests that it counted have ended: the time
+     * constant by which {@link #usualLoadWeight} falls.
+     */
     private static final double USUAL_LOAD_DECAY_RUNS = 10;
-    /** Usual age of a report on arrival: it does not contain attempts sent less than this before. */
+    /** Usual age of a report on arrival: attempts sent in this span before are not in it. */
     private static final long REPORT_LAG_MICROS = 400_000;
     /** How long a backend that has left keeps its place in its group, so that the groups do not shift. */
     private static final long GONE_RETENTION_MICROS = 60_000_000;
@@ -50,13 +56,16 @@
     private static final long FIRST_EJECTION_MICROS = 500_000;
     /** Burst that a tenant may save up, in seconds of its quota. */
     private static final double QUOTA_BURST_SECONDS = 2;
-    /** Burst that a tenant may save up in any case, in requests. */
+    /** Burst that a tenant may save up whatever its quota, in requests. */
     private static final double QUOTA_BURST_REQUESTS = 10;
-    /** Part of the work that would overload a cold backend that all dispatchers may send together. */
+    /** All dispatchers together may send a cold backend this share of the work that would overload it. */
     private static final double COLD_BUDGET_MARGIN = 0.5;
     /** Ratio of an even share of the cold budget to the smallest share that is given out. */
     private static final double COLD_SHARE_SPREAD = 2.4;
-    /** Divides target times for waits, and a client timeout for the slack after a restart. */
+    /**
+     * Divisor of a target time for the wait for load reports and, doubled, for the start timeout without
+     * probes; also of a client timeout for the slack after a restart.
+     */
     private static final int WAIT_DIVISOR = 4;
     /** Leniency of {@link #findCandidate} that looks at cold backends with a free slot only. */
     private static final int COLD_ONLY = -1;
@@ -95,7 +104,7 @@
         long ejectedUntil;
         /** Length of its ejection. */
         long ejectionMicros = FIRST_EJECTION_MICROS;
-        /** Number of the last list that had it. */
+        /** Value of {@link #listCount} at the last list or update that contained it. */
         long lastListNumber;
         /** Time of its last report; negative where it never reported. */
         long reportedAt = Long.MIN_VALUE / 4;
@@ -152,7 +161,7 @@
         boolean stalled;
         /** Whether the client has already waited for an earlier try of it. */
         boolean clientRetry;
-        /** Load reports that it still waits for before it is placed. */
+        /** Load reports that it still waits for, and 1 more while {@link #startPlacement} runs. */
         int awaitedReports;
         /** Tier of zones where it is being placed. */
         int tier;
@@ -166,7 +175,7 @@
     private final SplittableRandom random;
     /** Whether backends are probed for their load reports. */
     private final boolean probesForReports;
-    /** Whether backends with newer reports are preferred: no probes, and connections cost nothing. */
+    /** Whether backends with newer reports are preferred: no probes for them, and connections are free. */
     private final boolean prefersKnownBackends;
     /** Load difference that counts as equal where reports are old. */
     private final double staleTieSlots;
@@ -190,15 +199,15 @@
     private final double[] meanFreeSlotsByKind;
     /** Moving average of the slots of a backend, for each kind. */
     private final double[] meanSlotsByKind;
-    /** Logarithm of a kind's run times against the expected ones: above 0 for slow kinds. */
+    /** Moving average of log(run time / expected run time) for each kind: above 0 for slow kinds. */
     private final double[] logRunFactorByKind;
     /** Mean run time of each class. */
     private final double[] meanRunByClass;
     /** Runs counted in {@link #meanRunByClass}. */
     private final double[] runCountByClass;
     /** Mean ratio of run time to the work that the request announced, for each class. */
-    private final double[] runPerHintByClass;
-    /** Longest time to the deadline that a request of each class arrived with: that of a first try. */
+    private final double[] runPerWorkByClass;
+    /** Longest time until its deadline with which a request of each class came: that of a first try. */
     private final double[] maxRemainingByClass;
     /** Requests that each tenant may send within its quota now. */
     private final double[] creditByTenant;
@@ -260,7 +269,7 @@
         logRunFactorByKind = new double[settings.kindCount];
         trafficShare = 1.0 / settings.dispatcherCount;
         meanRunByClass = new double[settings.classes.size()];
-        runPerHintByClass = new double[settings.classes.size()];
+        runPerWorkByClass = new double[settings.classes.size()];
         maxRemainingByClass = new double[settings.classes.size()];
         runCountByClass = new double[settings.classes.size()];
         creditByTenant = new double[settings.tenants.size()];
@@ -385,7 +394,7 @@
     /** Returns the arrays of learned statistics; their order is that of the exported state. */
     private double[][] statisticsArrays() {
         return new double[][] {meanFreeSlotsByKind, meanSlotsByKind, logRunFactorByKind, meanRunByClass,
-            runCountByClass, runPerHintByClass, maxRemainingByClass};
+            runCountByClass, runPerWorkByClass, maxRemainingByClass};
     }
 
     @Override public LearnedState exportLearnedState() {
@@ -435,9 +444,10 @@
         if (heldRequests.isEmpty() && usedSlots >= 1 && meanRunMicros > 0)
             trafficShare += SAMPLE_WEIGHT / 5 * (arrivedWork / ROUND_MICROS / usedSlots - trafficShare);
         arrivedWork = 0;
-        double allowed = backends.values().stream().filter(this::isCold).mapToDouble(this::coldBudget).sum();
+        double coldBudgets =
+            backends.values().stream().filter(this::isCold).mapToDouble(this::coldBudget).sum();
         sentWork.expire(now - settings.overloadWindowMicros,
-            allowed / settings.dispatcherCount * ROUND_MICROS / settings.overloadWindowMicros,
+            coldBudgets / settings.dispatcherCount * ROUND_MICROS / settings.overloadWindowMicros,
             SAMPLE_WEIGHT / 5);
         zoneLimits.runPeriodicCheck(now).forEach(id -> { if (settings.mayProbe) actions.probe(id); });
         for (String line = zoneLimits.pollLogLine(); line != null; line = zoneLimits.pollLogLine())
@@ -460,18 +470,18 @@
      * unresponsive backends are considered only if there is no other, then also those that have tried the
      * request before.
      *
-     * @param healthyOnly whether to consider healthy backends that have not tried the request only
+     * @param healthyOnly whether to consider only healthy backends that have not tried the request
      */
     private Candidate chooseBackend(OpenRequest request, boolean healthyOnly) {
         for (int leniency = 0; leniency <= (healthyOnly ? 0 : 2); leniency++) {
-            Candidate one = findCandidate(request, (int) request.randomDraw, null, leniency);
-            Candidate two = one == null ? null
-                : findCandidate(request, (int) (request.randomDraw >> 32), one, leniency);
-            boolean tied = two != null && Math.abs(one.groupLoad - two.groupLoad)
-                < Math.max(GROUP_TIE_SLOTS, GROUP_SIZE * (tieSlots(one.backend) - MIN_TIE_SLOTS));
-            boolean first = two == null
-                || (tied ? isPreferred(one.backend, two.backend) : one.groupLoad <= two.groupLoad);
-            if (one != null) return first ? one : two;
+            Candidate first = findCandidate(request, (int) request.randomDraw, null, leniency);
+            Candidate second = first == null ? null
+                : findCandidate(request, (int) (request.randomDraw >> 32), first, leniency);
+            boolean tied = second != null && Math.abs(first.groupLoad - second.groupLoad)
+                < Math.max(GROUP_TIE_SLOTS, GROUP_SIZE * (tieSlots(first.backend) - MIN_TIE_SLOTS));
+            boolean takesFirst = second == null
+                || (tied ? isPreferred(first.backend, second.backend) : first.groupLoad <= second.groupLoad);
+            if (first != null) return takesFirst ? first : second;
         }
         return null;
     }
@@ -504,7 +514,7 @@
     private Candidate evaluateGroup(List<BackendStatus> group, OpenRequest request, int leniency) {
         boolean repeatable = request.requestClass.effect() == Effect.REPEATABLE;
         BackendStatus leastLoaded = null;
-        double sum = 0, least = 0, counted = 0;
+        double loadSum = 0, leastLoad = 0, eligibleCount = 0;
         for (BackendStatus backend : group) {
             if (!isEligible(backend, request, leniency)
                 || leniency == COLD_ONLY && !isCold(backend)) continue;
@@ -513,15 +523,16 @@
             double load = estimatedLoad(backend);
             if (!zoneLimits.admits(now, request.details, repeatable, request.attempts.size(), backend.entry,
                 load, request.tier)) continue;
-            sum += load;
-            counted++;
-            if (leastLoaded == null || (Math.abs(load - least) < tieSlots(backend)
-                ? isPreferred(backend, leastLoaded) : load < least)) {
+            loadSum += load;
+            eligibleCount++;
+            if (leastLoaded == null || (Math.abs(load - leastLoad) < tieSlots(backend)
+                ? isPreferred(backend, leastLoaded) : load < leastLoad)) {
                 leastLoaded = backend;
-                least = load;
+                leastLoad = load;
             }
         }
-        return leastLoaded == null ? null : new Candidate(group, sum * GROUP_SIZE / counted, leastLoaded);
+        return leastLoaded == null ? null
+            : new Candidate(group, loadSum * GROUP_SIZE / eligibleCount, leastLoaded);
     }
 
     /**
@@ -529,7 +540,8 @@
      * the faster kind, then chance. With a fixed order all dispatchers would choose the same backend.
      */
     private boolean isPreferred(BackendStatus backend, BackendStatus other) {
-        double faster = logRunFactorByKind[other.entry.kind()] - logRunFactorByKind[backend.entry.kind()];
+        double speedAdvantage =
+            logRunFactorByKind[other.entry.kind()] - logRunFactorByKind[backend.entry.kind()];
         if (hasIdleConnection(backend) != hasIdleConnection(other)) return hasIdleConnection(backend);
         if (backend.entry.zone() == settings.ownZone != (other.entry.zone() == settings.ownZone))
             return backend.entry.zone() == settings.ownZone;
@@ -538,12 +550,12 @@
         boolean bothReported = prefersKnownBackends && Math.min(backend.reportedAt, other.reportedAt) >= 0;
         if (bothReported && backend.reportedAt != other.reportedAt)
             return backend.reportedAt > other.reportedAt;
-        return faster == 0 ? random.nextBoolean() : faster > 0;
+        return speedAdvantage == 0 ? random.nextBoolean() : speedAdvantage > 0;
     }
 
     /**
      * Returns the load difference that counts as equal. It grows with the number of dispatchers, whose sends
-     * are not known here, and with the age of a report that was not asked for.
+     * are not known here, and, with {@link #prefersKnownBackends}, with the age of the last report.
      */
     private double tieSlots(BackendStatus backend) {
         return MIN_TIE_SLOTS + (staleTieSlots - MIN_TIE_SLOTS) * (1 - usualLoadWeight(backend));
@@ -551,7 +563,7 @@
 
     /**
      * Returns the weight, from 1 to 0, of a backend's own {@link BackendStatus#usualFreeSlots} against its
-     * kind's mean. It falls with the age of the last report.
+     * kind's mean. It falls with the age of the last report, and is 0 without {@link #prefersKnownBackends}.
      */
     private double usualLoadWeight(BackendStatus backend) {
         return !prefersKnownBackends ? 0
@@ -563,24 +575,28 @@
         return backend.attempts.isEmpty() && now - backend.lastResponseAt < trustedIdleMicros;
     }
 
-    /** Returns minus the free slots last reported plus the slots that this dispatcher has used since. */
+    /**
+     * Returns a backend's load in slots, below 0 while slots are free: the slots that this dispatcher has
+     * used since the last report, less the free slots in that report.
+     */
     private double estimatedLoad(BackendStatus backend) {
-        double own = 0, since = 0, staleness = reportStaleness(backend);
+        double ownSlots = 0, slotsSinceReport = 0, staleness = reportStaleness(backend);
         for (Attempt attempt : backend.attempts) {
-            own += attempt.request.details.slots();
-            since += attempt.sentAt > backend.reportedAt - REPORT_LAG_MICROS
+            ownSlots += attempt.request.details.slots();
+            slotsSinceReport += attempt.sentAt > backend.reportedAt - REPORT_LAG_MICROS
                 ? attempt.request.details.slots() : 0;
         }
         // As a report grows old, the estimate moves to the usual free slots: first those of the backend
-        // itself, so that a slow or crowded one does not count as an average one of its kind at once.
-        double usual = meanFreeSlotsByKind[backend.entry.kind()]
+        // itself, so that a slow or busy one does not count as an average one of its kind at once.
+        double usualFreeSlots = meanFreeSlotsByKind[backend.entry.kind()]
             + usualLoadWeight(backend) * (backend.usualFreeSlots - meanFreeSlotsByKind[backend.entry.kind()]);
-        return (1 - staleness) * (since - backend.freeSlots) + staleness * (own - usual);
+        return (1 - staleness) * (slotsSinceReport - backend.freeSlots)
+            + staleness * (ownSlots - usualFreeSlots);
     }
 
     /**
-     * Returns how little the last report still says, from 0 to 1: the requests that it counted end over time.
-     * If reports stayed valid, a backend that once reported no free slot would never be used again.
+     * Returns how outdated the last report is, from 0 to 1: the requests that it counted end over time. If
+     * reports stayed valid, a backend that once reported no free slot would never be used again.
      */
     private double reportStaleness(BackendStatus backend) {
         return 1 - Math.exp((backend.reportedAt - now - REPORT_LAG_MICROS)
@@ -591,7 +607,10 @@
         return estimatedLoad(backend) + request.details.slots() <= MIN_TIE_SLOTS;
     }
 
-    /** Returns a backend's slots; the mean of its kind if it has never reported any. */
+    /**
+     * Returns a backend's slots: the most that it ever reported free, or the mean of its kind if it never
+     * reported a free one.
+     */
     private double estimatedSlots(BackendStatus backend) {
         return backend.peakFreeSlots < 1 ? meanSlotsByKind[backend.entry.kind()] : backend.peakFreeSlots;
     }
@@ -601,7 +620,7 @@
         return backend.suspect && (now < backend.ejectedUntil || !backend.attempts.isEmpty());
     }
 
-    /** Whether rules 2 to 4 allow a request's next attempt; leniency as in {@link #findCandidate}. */
+    /** Whether rules 2 to 4 and ejections allow an attempt; leniency as in {@link #findCandidate}. */
     private boolean isEligible(BackendStatus backend, OpenRequest request, int leniency) {
         boolean ejected = isEjected(backend)
             || now < backend.ejectedUntilByTenant.getOrDefault(request.details.tenantIndex(), 0L);
@@ -662,9 +681,9 @@
      * Counts reports that a request waits for, and sends or holds it when all have come. Choosing a backend
      * by old reports would cost more than the short wait for new ones.
      */
-    private void reportsArrived(OpenRequest request, int reports) {
+    private void reportsArrived(OpenRequest request, int reportCount) {
         if (request.awaitedReports == 0) return;
-        request.awaitedReports = Math.max(0, request.awaitedReports - reports);
+        request.awaitedReports = Math.max(0, request.awaitedReports - reportCount);
         if (request.awaitedReports == 0 && !request.finished && !trySend(request)
             && !finishIfHopeless(request))
             heldRequests.add(request);
@@ -672,12 +691,12 @@
 
     /** Whether no further attempt may be made, or none could earn anything. */
     private boolean cannotSucceed(OpenRequest request) {
-        double leastTime = settings.timerGranularityMicros
+        double minRemainingMicros = settings.timerGranularityMicros
             + Math.max(ROUND_MICROS, request.attempts.isEmpty() ? 0 : expectedRunMicros(request));
         // A client retry gets one attempt though it is late. It often comes from a dispatcher that died, and
         // a request that had run there for long is longer than the mean, with more slack than assumed here.
         boolean lateCounts = !probesForReports || !request.clientRetry || !request.attempts.isEmpty();
-        return request.deadline - now <= leastTime || !mayRetry(request)
+        return request.deadline - now <= minRemainingMicros || !mayRetry(request)
             || lateCounts && now > request.latestStart && request.requestClass.lateWorthShare() == 0;
     }
 
@@ -727,7 +746,10 @@
             request.tier);
     }
 
-    /** Tries the first held requests, as sorted by worth and slack in the last round, while any is sent. */
+    /**
+     * Tries the first held requests, as sorted by worth and slack in the last round, again and again while
+     * any of them is sent or finished.
+     */
     private void sendHeldRequests() {
         while (heldRequests.subList(0, Math.min(heldRequests.size(), HELD_REQUESTS_PER_PASS))
             .removeIf(request -> finishIfHopeless(request) || trySend(request))) continue;
@@ -741,13 +763,13 @@
         outstandingSlots += request.details.slots();
         request.attempts.add(attempt);
         attempt.connectionIdleMicros = backend.attempts.isEmpty() ? now - backend.lastResponseAt : 0;
-        // A start is not overdue while a new connection is being opened. Where probes tell the queues, it may
-        // take longer than where they are not known.
+        // A start is not overdue while a new connection is being opened. Where probes report the queues, it
+        // may take longer than where they are not known.
         attempt.startTimeoutMicros = Math.max(
             request.requestClass.targetMicros() / (probesForReports ? 2 : 2 * WAIT_DIVISOR),
             hasIdleConnection(backend) ? 0 : settings.connectTimeoutMicros);
-        // Something between may drop idle connections without notice. A connection that has been idle for as
-        // long as those that were lost is closed instead of used.
+        // Something on the way to a backend may drop idle connections without notice. A connection that has
+        // been idle for as long as those that were lost is closed instead of used.
         if (attempt.connectionIdleMicros > trustedIdleMicros
             && attempt.connectionIdleMicros < settings.idleTimeoutMicros)
             actions.closeIdleConnections(backend.entry.id());
@@ -781,8 +803,8 @@
             trustedIdleMicros = Math.min(trustedIdleMicros, attempt.connectionIdleMicros / 2);
         if (waits && !probablyLost) setStalled(request, true);
         if (waits && attempt.hadFreeSlot) zoneLimits.startOverdue(now, attempt.backend.entry.id());
-        // A repeatable request that can no longer start in time leaves the queue to others, if an even chance
-        // that its place brings an answer in time is worth more than its own late answer.
+        // A repeatable request that can no longer start in time gives its place in the queue to others, if an
+        // even chance of an answer in time for one of them is worth more than its own late answer.
         boolean isWorthDropping = request.requestClass.effect() == Effect.REPEATABLE
             && request.requestClass.lateWorthShare() < 1.0 / 3;
         if (waits && isWorthDropping && now > request.latestStart && refuseOrFail(request)) return;
@@ -799,7 +821,7 @@
             boolean lessLoaded = settings.reportMode == ReportMode.NEVER && candidate != null
                 && estimatedLoad(candidate.backend) < estimatedLoad(attempt.backend);
             // A hedged request that queues, or runs after the first has answered, only takes capacity.
-            // Reports in responses come too late to show a free slot, so none is sent on their word.
+            // Reports in responses come too late to show a free slot, so none is sent because of them.
             if (candidate != null
                 && (silent || (probesForReports ? hasFreeSlot(candidate.backend, request) : lessLoaded))) {
                 sendAttempt(request, candidate.backend);
@@ -818,8 +840,8 @@
     }
 
     /**
-     * Returns how long the queues of all backends are, in mean runs: the requests that were sent and do not
-     * start against those that run. The square root allows for requests that stall by chance.
+     * Returns how long the queues of all backends are, in mean run times: the requests that were sent and do
+     * not start, in relation to those that run. The square root allows for requests that stall by chance.
      */
     private double backlogRuns() {
         return outstandingSlots < 1 ? 0 : (stalledSlots - Math.sqrt(stalledSlots)) / (runningSlots + 1);
@@ -858,7 +880,7 @@
             trustedIdleMicros = Math.min(trustedIdleMicros, attempt.connectionIdleMicros / 2);
         else if (!tenantRejected && !outcome.isLocal() && outcome != Outcome.UNFIT)
             eject(attempt.backend, outcome);
-        // UNFIT may be the client's fault. Only when another backend serves the request is it the backend's.
+        // UNFIT may be the client's fault. It counts as the backend's if another backend serves it.
         if (outcome == Outcome.SERVED) attempt.request.attempts.stream()
             .filter(other -> other.outcome == Outcome.UNFIT)
             .forEach(other -> eject(other.backend, Outcome.ERROR));
@@ -870,7 +892,7 @@
     }
 
     /**
-     * Rule 2: whether a further attempt is allowed, including the time to open its connection.
+     * Whether rule 2 and the limit of attempts allow a further one, with the time to open its connection.
      * {@link #isEligible} decides which backends it may go to.
      */
     private boolean mayRetry(OpenRequest request) {
@@ -881,7 +903,7 @@
             .noneMatch(attempt -> mayHaveRun(attempt) && now - attempt.sentAt >= retryWindow);
     }
 
-    /** Whether an attempt may have run; REJECTED proves nothing where backends also reject begun work. */
+    /** Whether an attempt may have run; REJECTED proves nothing if backends reject work that has begun. */
     private boolean mayHaveRun(Attempt attempt) {
         boolean rejectedLate = settings.rejectedMayHaveRun && attempt.outcome == Outcome.REJECTED;
         return attempt.outcome == null || !attempt.outcome.neverRan() || rejectedLate;
@@ -901,7 +923,7 @@
 
     /**
      * Gives a request its final answer without a result: a refusal if rule 2 lets the client try again
-     * without harm, otherwise a failure. Always returns true, so that conditions can end with it.
+     * without harm, otherwise a failure. Always returns true, for use in conditions.
      */
     private boolean refuseOrFail(OpenRequest request) {
         boolean harmless = request.requestClass.effect() == Effect.REPEATABLE
@@ -933,14 +955,14 @@
      * for a part of its own slack, and no longer than a request of any other class could wait behind it.
      */
     private boolean mayQueueAt(OpenRequest request, Candidate candidate) {
-        double ownWorth = worthRate(request), betterClasses = 0;
+        double ownWorthRate = worthRate(request), betterClassShare = 0;
         double runFactor = Math.exp(logRunFactorByKind[candidate.backend.entry.kind()]);
         double work = request.details.expectedWorkMicros() > 0 ? request.details.expectedWorkMicros()
             : expectedRunMicros(request);
         double slack = request.requestClass.targetMicros() + request.requestClass.targetStretch() * work
             - expectedRunMicros(request) * runFactor;
         for (int c = 0; c < runCountByClass.length; c++) {
-            betterClasses += worthRate(c) > ownWorth ? 1.0 / runCountByClass.length : 0;
+            betterClassShare += worthRate(c) > ownWorthRate ? 1.0 / runCountByClass.length : 0;
             if (c != request.details.classIndex())
                 slack = Math.min(slack, settings.classes.get(c).slackMicros(classRunMicros(c)));
         }
@@ -949,21 +971,23 @@
         // Other dispatchers send to the same queue unseen. The less a late answer earns, the more of the
         // slack is kept in reserve; the part that classes of more worth may need is kept as well.
         double fraction = isLate(request) ? 0
-            : (1 - betterClasses) * (1 + request.requestClass.lateWorthShare()) / 2;
+            : (1 - betterClassShare) * (1 + request.requestClass.lateWorthShare()) / 2;
         return expectedQueueMicros(candidate.backend, request) * runFactor
             <= Math.max(0, Math.min(remaining, fraction * slack));
     }
 
-    /** Returns a class's worth in relation to its run time; the worth alone where it is counted by work. */
+    /**
+     * Returns a class's worth per microsecond of its run time; the worth alone where that is counted by work.
+     */
     private double worthRate(int classIndex) {
         return settings.classes.get(classIndex).worth()
             / (settings.worthByWork ? 1 : Math.max(1, classRunMicros(classIndex)));
     }
 
-    /** Returns the same for a request: less if it is late or exceeds its tenant's quota. */
+    /** Returns the same for a request: reduced if it is late or exceeds its tenant's quota. */
     private double worthRate(OpenRequest request) {
-        double late = isLate(request) ? request.requestClass.lateWorthShare() : 1;
-        return worthRate(request.details.classIndex()) * late
+        double lateFactor = isLate(request) ? request.requestClass.lateWorthShare() : 1;
+        return worthRate(request.details.classIndex()) * lateFactor
             * (request.overQuota ? settings.overQuotaWorthShare : 1);
     }
 
@@ -981,13 +1005,17 @@
         double load = estimatedLoad(backend) + request.details.slots() + reserve;
         double queue = backend.queuedRequests
             * Math.exp((backend.reportedAt - now) / Math.max(1, meanRunMicros));
-        double ahead = Math.max(queue, idle || load <= MIN_TIE_SLOTS ? 0 : load + (probesForReports ? 1 : 0));
-        return (long) (meanRunMicros * Math.max(backlogRuns(), ahead / Math.max(1, estimatedSlots(backend))));
+        double slotsAhead =
+            Math.max(queue, idle || load <= MIN_TIE_SLOTS ? 0 : load + (probesForReports ? 1 : 0));
+        return (long) (meanRunMicros
+            * Math.max(backlogRuns(), slotsAhead / Math.max(1, estimatedSlots(backend))));
     }
 
     /**
      * Whether a request exceeds its tenant's quota: the tenant has no credit left of this dispatcher's share
      * of it. The first try of a request takes one from the credit, whatever becomes of the request.
+     * A quota of 0 is never exceeded. An unknown tenant always exceeds its quota, but where the settings name
+     * no tenants, index 0 never does.
      */
     private boolean exceedsQuota(int tenantIndex, boolean firstTry) {
         if (tenantIndex >= creditByTenant.length || ownQuotaPerSecond(tenantIndex) <= 0)
@@ -1004,7 +1032,7 @@
 
     // ---- Load reports and health
 
-    /** Takes over a load report; a report without free slots is ignored, as are null arguments. */
+    /** Takes over a load report; ignored if it does not contain the free slots or an argument is null. */
     private void applyReport(BackendStatus backend, LoadReport report) {
         if (backend == null || report == null || Double.isNaN(report.freeSlots)) return;
         backend.attempts.removeIf(attempt -> attempt.outcome != null);
@@ -1028,8 +1056,8 @@
         double excess = full && report.inFlight > backend.peakFreeSlots
             ? report.inFlight - backend.peakFreeSlots : 0;
         backend.queuedRequests = Math.max(0, Double.isNaN(report.queued) ? excess : report.queued);
-        // The queue counts for the choice of a backend up to half of its slots. Counted in full, it made all
-        // dispatchers stop and resume sending to the backend at the same time.
+        // The queue counts for the choice of a backend up to half of its slots. Counted in full, it would
+        // make all dispatchers stop and resume sending to the backend at the same time.
         backend.freeSlots = report.freeSlots - Math.min(backend.queuedRequests, backend.peakFreeSlots / 2);
         backend.usualFreeSlots += (first ? 1 : 4 * SAMPLE_WEIGHT)
             * (backend.freeSlots - backend.usualFreeSlots);
@@ -1064,26 +1092,26 @@
         clearSuspicion(attempt.backend);
         // Where backends do not report the start, the time in their queue counts as run time: otherwise no
         // run time would ever be known.
-        long from = settings.backendsReportStart ? attempt.startedAt : attempt.sentAt;
-        if (from < 0) return;
+        long runFrom = settings.backendsReportStart ? attempt.startedAt : attempt.sentAt;
+        if (runFrom < 0) return;
         int classIndex = attempt.request.details.classIndex(), kind = attempt.backend.entry.kind();
-        double run = now - from, expected = expectedRunMicros(attempt.request);
-        if (expected > 0)
+        double runMicros = now - runFrom, expectedMicros = expectedRunMicros(attempt.request);
+        if (expectedMicros > 0)
             logRunFactorByKind[kind] += SAMPLE_WEIGHT
-                * (Math.log(Math.max(1, run) / expected) - logRunFactorByKind[kind]);
+                * (Math.log(Math.max(1, runMicros) / expectedMicros) - logRunFactorByKind[kind]);
         double weight = Math.max(SAMPLE_WEIGHT, 1.0 / ++runCountByClass[classIndex]);
-        meanRunByClass[classIndex] += weight * (run - meanRunByClass[classIndex]);
-        runPerHintByClass[classIndex] += attempt.request.details.expectedWorkMicros() > 0
-            ? weight * (run / attempt.request.details.expectedWorkMicros() - runPerHintByClass[classIndex])
-            : 0;
-        meanRunMicros += meanRunMicros == 0 ? run : SAMPLE_WEIGHT * (run - meanRunMicros);
+        meanRunByClass[classIndex] += weight * (runMicros - meanRunByClass[classIndex]);
+        runPerWorkByClass[classIndex] += attempt.request.details.expectedWorkMicros() > 0
+            ? weight * (runMicros / attempt.request.details.expectedWorkMicros()
+                - runPerWorkByClass[classIndex]) : 0;
+        meanRunMicros += meanRunMicros == 0 ? runMicros : SAMPLE_WEIGHT * (runMicros - meanRunMicros);
     }
 
     /** Returns a request's expected run time on a backend of average speed; 0 while no run time is known. */
     private double expectedRunMicros(OpenRequest request) {
         int classIndex = request.details.classIndex();
         return request.details.expectedWorkMicros() > 0 ? request.details.expectedWorkMicros()
-            * (runCountByClass[classIndex] > 0 ? runPerHintByClass[classIndex] : 1)
+            * (runCountByClass[classIndex] > 0 ? runPerWorkByClass[classIndex] : 1)
             : classRunMicros(classIndex);
     }
 
@@ -1101,8 +1129,8 @@
     }
 
     /**
-     * Returns the work of a request on a warm backend of this kind, in slot-microseconds. A kind that runs
-     * longer gets less done in the same slots.
+     * Returns the work of a request on a warm backend of this kind, in slot-microseconds. A slower
+     * kind gets less done in the same slots.
      */
     private double expectedSlotMicros(BackendStatus backend, OpenRequest request) {
         return expectedRunMicros(request) * Math.exp(logRunFactorByKind[backend.entry.kind()])
@@ -1139,22 +1167,24 @@
 
     /**
      * Returns how much one dispatcher may send to a cold backend in any window, in requests of mean work.
-     * What all dispatchers send in a window adds up to at most N + 2 * sqrt(N) + 2 (docs/fleet.md).
+     * What all dispatchers send in a window adds up to at most N + 2 * sqrt(N) + 2, where N is
+     * {@code overloadWork} (docs/fleet.md).
      *
-     * @param n           work that would overload the backend in a window, in requests of mean work (N)
-     * @param rank        the dispatcher's rank in this window, from 0, which has the largest share; or
-     *                    {@link #LARGE_REQUEST_RANK} for the largest request that may be sent alone
-     * @param dispatchers number of dispatchers
+     * @param overloadWork    work that would overload the backend in a window, in requests of mean work
+     * @param rank            the dispatcher's rank in this window, from 0, which has the largest share; or
+     *                        {@link #LARGE_REQUEST_RANK} for the largest request that may be sent alone
+     * @param dispatcherCount number of dispatchers
      */
-    static double coldBudgetShare(double n, long rank, int dispatchers) {
-        double all = n + 2 * Math.sqrt(n) + 2;
-        double large = Math.max(1, all / 4);
-        double even = (all - large) / dispatchers;
-        double most = Math.min(MAX_SHARE_REQUESTS, large);
-        double least = Math.max(1.0 / MAX_SHARE_REQUESTS, even / COLD_SHARE_SPREAD);
-        double first = (all - large) / (1 + Math.log(most / least));
-        if (rank == LARGE_REQUEST_RANK || even >= most) return rank == LARGE_REQUEST_RANK ? large : even;
-        return first < least * (1 + rank) ? 0 : Math.min(most, first / (1 + rank));
+    static double coldBudgetShare(double overloadWork, long rank, int dispatcherCount) {
+        double maxTotal = overloadWork + 2 * Math.sqrt(overloadWork) + 2;
+        double maxAlone = Math.max(1, maxTotal / 4);
+        double evenShare = (maxTotal - maxAlone) / dispatcherCount;
+        double maxShare = Math.min(MAX_SHARE_REQUESTS, maxAlone);
+        double minShare = Math.max(1.0 / MAX_SHARE_REQUESTS, evenShare / COLD_SHARE_SPREAD);
+        double firstShare = (maxTotal - maxAlone) / (1 + Math.log(maxShare / minShare));
+        if (rank == LARGE_REQUEST_RANK || evenShare >= maxShare)
+            return rank == LARGE_REQUEST_RANK ? maxAlone : evenShare;
+        return firstShare < minShare * (1 + rank) ? 0 : Math.min(maxShare, firstShare / (1 + rank));
     }
 
     /**
@@ -1190,8 +1220,8 @@
     }
 
     /**
-     * Cuts the backends that a class may use in a tier, sorted by id, into groups. A backend that left lately
-     * keeps its place, so that the other groups stay the same.
+     * Divides the backends that each class may use in each tier, sorted by id, into groups. A backend that
+     * left the list lately keeps its place, so that the other groups stay the same.
      */
     private void buildGroups() {
         // Attempts are drawn from these groups only: a class never reaches a backend that it may not run on.
@@ -1207,7 +1237,7 @@
     }
 
     private void updateState(BackendStatus backend, Backend entry, BackendState state) {
-        boolean leaves = backend.state == BackendState.READY && state != backend.state;
+        boolean stopsBeingReady = backend.state == BackendState.READY && state != backend.state;
         if (backend.state == BackendState.READY) readyByKind[backend.entry.kind()]--;
         if (state == BackendState.READY) readyByKind[entry.kind()]++;
         if (state != backend.state) goneBackends.remove(backend);
@@ -1215,7 +1245,7 @@
         backend.entry = entry;
         backend.stateChangedAt = backend.state == state ? backend.stateChangedAt : now;
         backend.state = state;
-        if (leaves) closeConnectionsUnlessReady(backend);
+        if (stopsBeingReady) closeConnectionsUnlessReady(backend);
     }
 
     /**
--- a/src/main/java/badgermux/decide/DispatchPolicy.java
+++ b/src/main/java/badgermux/decide/DispatchPolicy.java
@@ -126,7 +126,10 @@
         }
     }
 
-    /** The settings of a dispatcher, fixed at its start. The defaults apply where a site sets nothing. */
+    /**
+     * The settings of a dispatcher, fixed at its start. The defaults apply where an installation sets
+     * nothing.
+     */
     final class Settings {
         /** Number of dispatchers that send to the same backends, this one included. */
         public int dispatcherCount = 1;
@@ -180,7 +183,7 @@
          * Share of its capacity that a backend has when it starts; it has all after {@link #warmUpMicros}.
          */
         public double coldCapacityShare = 1;
-        /** How long a backend is cold at most. */
+        /** How long after its start a backend is cold at most. */
         public long warmUpMicros;
         /**
          * A cold backend breaks down when it is sent more than this multiple of its capacity for
@@ -211,15 +214,20 @@
                 "connectCost or connectTimeoutMicros is negative");
             require(warmUpMicros >= 0 && overloadWindowMicros >= 0 && maxRetryAfterMicros >= 0,
                 "warmUpMicros, overloadWindowMicros or maxRetryAfterMicros is negative");
-            for (RequestClass type : classes) {
-                require(type.allowedKinds() == null
-                    || type.allowedKinds().stream().allMatch(k -> k >= 0 && k < kindCount),
-                    "class " + type.name() + " allows kinds " + type.allowedKinds() + " of " + kindCount);
+            for (RequestClass requestClass : classes) {
+                require(requestClass.allowedKinds() == null
+                    || requestClass.allowedKinds().stream().allMatch(kind -> kind >= 0 && kind < kindCount),
+                    "class " + requestClass.name() + " allows kinds " + requestClass.allowedKinds() + " of "
+                        + kindCount);
             }
             return this;
         }
 
-        /** Returns a request's class; an exception if the request is null or its class is not set. */
+        /**
+         * Returns a request's class.
+         *
+         * @throws IllegalArgumentException if the request is null or the settings do not have its class
+         */
         RequestClass classOf(Request request) {
             require(request != null, "request is required");
             require(request.classIndex() < classes.size(),
@@ -266,7 +274,7 @@
      *
      * @param slots              slots of a backend that it occupies while it runs
      * @param expectedWorkMicros its expected run time on a standard core; 0 if it is not known
-     * @param remainingMicros    time until the client gives up
+     * @param remainingMicros    time until the client gives up, less a margin that the caller may keep
      */
     record Request(long id, int classIndex, int tenantIndex, double slots, long expectedWorkMicros,
             long remainingMicros) {
@@ -303,7 +311,7 @@
          * Whether a backend may get a request.
          *
          * @param attempts number of attempts that the request has had
-         * @param load     minus the backend's free slots
+         * @param load     the backend's estimated load in slots: minus its free slots
          */
         default boolean admits(long now, Request request, boolean repeatable, int attempts, Backend backend,
                 double load, int tier) {
--- a/src/main/java/badgermux/decide/WatchTiming.java
+++ b/src/main/java/badgermux/decide/WatchTiming.java
@@ -5,9 +5,10 @@
  * {@link #MAX_PROPAGATION_MICROS} after discovery has it and can be reached.
  *
  * <p>In the worst case discovery becomes reachable just after a call has been sent that it will never answer,
- * and refuses one more call on the way. The sums below are the time until the call that is answered begins.
- * In them, {@code pause} is {@link #MAX_RETRY_PAUSE_MICROS} with the most jitter, 1.125 s, and {@code first}
- * is the first pause after a list, 0.75 s:
+ * and refuses one more call before the one that it answers. The sums below are the time until the call that
+ * is answered begins. In them, {@code pause} is {@link #MAX_RETRY_PAUSE_MICROS} with the most jitter,
+ * 1.125 s, {@code first} is the first pause after a list, 0.75 s, and {@code refused} is the time of the
+ * refused call, which counts as 0:
  * <ul>
  * <li>a watch after a successful one: {@link #WATCH_TIMEOUT_MICROS} + refused + first = 4.75 s, as it is
  * repeated without a pause;
@@ -36,9 +37,9 @@
     public static final long RECOVERY_TIMEOUT_MICROS = 3_000_000;
     /** How long a connection to discovery may take to open. */
     public static final long CONNECT_TIMEOUT_MICROS = 1_000_000;
-    /** The same for an agent on the dispatcher's own host, whose changes count as arrived at once. */
+    /** The same for a discovery agent on the dispatcher's own host: its changes count as arrived at once. */
     public static final long AGENT_CONNECT_TIMEOUT_MICROS = 200_000;
-    /** Pause after a failed call to an agent: a watch may be interrupted for 200 ms at most. */
+    /** Pause after a failed call to such an agent: a watch may be interrupted for 200 ms at most. */
     public static final long AGENT_RETRY_PAUSE_MICROS = 100_000;
     /** How long answers may be older than the current list; after that, discovery has started over. */
     public static final long MAX_STALE_REVISIONS_MICROS = 1_000_000;
--- a/src/main/java/badgermux/front/Frontend.java
+++ b/src/main/java/badgermux/front/Frontend.java
@@ -36,13 +36,13 @@
     /** How long after SIGTERM new connections are still served: the load balancer goes on sending them for a while. */
     static final long ACCEPT_AFTER_SIGTERM_MICROS = 700_000;
     /**
-     * How long after SIGTERM idle connections stay open. Each takes one more request, as the next dispatcher may not be up
-     * yet.
+     * How long after SIGTERM idle connections stay open. Each takes one more request, as the next process may not be
+     * running yet.
      */
     static final long KEEP_ALIVE_AFTER_SIGTERM_MICROS = 500_000;
     /**
-     * Upper bound of the longest deadline in the time from SIGTERM to SIGKILL, which is that deadline plus
-     * {@link #ACCEPT_AFTER_SIGTERM_MICROS}.
+     * SIGKILL follows SIGTERM after the longest deadline of all request classes, or after this span if the deadline is
+     * longer, plus {@link #ACCEPT_AFTER_SIGTERM_MICROS}.
      */
     static final long MAX_KILL_DEADLINE_MICROS = 3_000_000;
     /** How long before SIGKILL all open requests get their final answers: time to write the answers and to exit. */
@@ -52,15 +52,15 @@
     /** A connection that has been silent for this long may be evicted: clients send as soon as they are connected. */
     static final long EVICTION_GRACE_MICROS = 300_000;
     /**
-     * Replaces {@link #EVICTION_GRACE_MICROS} while no further connection can be accepted. Input that has arrived by then has
-     * been read.
+     * Replaces {@link #EVICTION_GRACE_MICROS} while no further connection can be accepted. After this span, input that has
+     * arrived has been read.
      */
     static final long EVICTION_GRACE_WHEN_FULL_MICROS = 60_000;
     /** A connection that is still receiving a request this long after its start may be evicted if no other can be. */
     static final long EVICTION_GRACE_RECEIVING_MICROS = 3_000_000;
     /** How long accepting pauses when there is no room. */
     private static final long ACCEPT_PAUSE_MICROS = 20_000;
-    /** Number of connections for which room is made after the pause by aborting closing connections. */
+    /** After the pause, closing connections are aborted until there is room for this number of new ones. */
     private static final int ACCEPT_HEADROOM = 16;
     /** Retry-After of a request that is refused here because there is no room. */
     private static final long RETRY_AFTER_MICROS = 500_000;
@@ -90,9 +90,9 @@
     private final LinkedHashSet<FrontendConnection> silentConnections = new LinkedHashSet<>();
     /** Connections that have sent part of a request, longest silent first. */
     private final LinkedHashSet<FrontendConnection> receivingConnections = new LinkedHashSet<>();
-    /** Idle connections that have not sent a valid request, longest idle first. */
+    /** Idle connections that have not sent a valid POST request, longest idle first. */
     private final LinkedHashSet<FrontendConnection> unprovenConnections = new LinkedHashSet<>();
-    /** Idle connections that have sent a valid request before, longest idle first. */
+    /** Idle connections that have sent a valid POST request before, longest idle first. */
     private final LinkedHashSet<FrontendConnection> idleConnections = new LinkedHashSet<>();
     /** Connections in a lingering close, longest closing first. */
     private final LinkedHashSet<FrontendConnection> closingConnections = new LinkedHashSet<>();
@@ -260,7 +260,7 @@
     private void finishDrainWhenIdle(Runnable onDrained) {
         closeIdleConnections();
         long readUntil = inputReadUntilMicros();
-        // Closes new connections only after a silence, as their first request could cross the close.
+        // Closes new connections only after a silence, as their first request could be on its way when they close.
         List.copyOf(silentConnections).stream()
             .filter(c -> readUntil - c.openedMicros() >= EVICTION_GRACE_MICROS)
             .forEach(FrontendConnection::close);
@@ -331,8 +331,8 @@
     /**
      * Closes the least useful connection, if there is one. Candidates in this order: an idle connection that has not sent a
      * valid request; one that has been silent since it was opened; one that stopped sending in the middle of a request; an
-     * idle connection of a client, which resends a request that crosses the close; and a connection that is still receiving
-     * a request after {@link #EVICTION_GRACE_RECEIVING_MICROS}.
+     * idle connection that has sent a valid request, whose client resends a request that was on its way at the close; and a
+     * connection that is still receiving a request after {@link #EVICTION_GRACE_RECEIVING_MICROS}.
      *
      * @return whether a connection was closed
      */
@@ -351,7 +351,7 @@
             return false;
         }
         metrics.increment(Count.CLIENT_CONNECTIONS_EVICTED);
-        // Sends an answer to a partial request, as its last byte may cross the close.
+        // Sends an answer to a partial request, as its last bytes may be on their way at the close.
         if (receivingConnections.contains(victim)) {
             victim.refuseIncompleteRequest();
         } else {
@@ -380,7 +380,11 @@
         }
     }
 
-    /** Returns the first connection that is not receiving in pieces and has been silent since a time; null if there is none. */
+    /**
+     * Returns the first connection that is not receiving in pieces and has been silent since a time; null if there is none.
+     *
+     * @param candidates longest silent first
+     */
     private static FrontendConnection firstSilentSince(LinkedHashSet<FrontendConnection> candidates, long sinceMicros) {
         for (FrontendConnection connection : candidates) {
             if (connection.lastReadMicros() > sinceMicros) {
@@ -403,9 +407,9 @@
      */
     private void resumeAccepting() {
         acceptTimer = null;
-        boolean isEvicted = true;
-        while (isEvicted && activeConnectionCount() > maxConnections) {
-            isEvicted = evictConnection();
+        boolean hasEvicted = true;
+        while (hasEvicted && activeConnectionCount() > maxConnections) {
+            hasEvicted = evictConnection();
         }
         abortClosingConnections();
         if (connections.size() < maxConnections + maxExtraConnections) {
@@ -481,8 +485,8 @@
     }
 
     /**
-     * Whether a connection that is accepted now may have waited in the socket's queue, so that its client may have left: there
-     * was no room, or the event loop stalled.
+     * Whether a connection that is accepted now may have waited in the socket's queue, so that its client may have
+     * disconnected: there was no room, or the event loop stalled.
      */
     boolean mayAcceptLate() {
         return activeConnectionCount() >= maxConnections
@@ -507,7 +511,7 @@
     /**
      * Reserves memory for received bytes, so that request bodies can't fill the heap.
      *
-     * @param bytes to be released if negative
+     * @param bytes number of bytes; negative to release them
      * @return whether there was room; if not, nothing is reserved
      */
     boolean reserveBodyBytes(int bytes) {
--- a/src/main/java/badgermux/front/FrontendConnection.java
+++ b/src/main/java/badgermux/front/FrontendConnection.java
@@ -32,8 +32,8 @@
     private static final long SEPARATE_SEND_GAP_MICROS = 20_000;
     /**
      * How long to wait for the client's disconnect before a request is submitted whose connection waited to be accepted.
-     * No attempt may begin later than 0.1 s after the client has left. Half of that is waited here; the other half is left
-     * for the way of the disconnect to this process.
+     * No attempt may begin later than 0.1 s after the client has disconnected. Half of that is waited here; the other half is
+     * left for the disconnect to reach this process.
      */
     static final long LATE_ACCEPT_WAIT_MICROS = 50_000;
     /** How long a closing connection is still read after this side has been shut down. */
@@ -81,7 +81,7 @@
     private long lastReadMicros;
     /** When the last input may have arrived: before {@link #lastReadMicros} if the event loop stalled. */
     private long arrivalMicros;
-    /** Whether the connection waited to be accepted, so that the client of its first request may have left. */
+    /** Whether the connection waited to be accepted, so that the client of its first request may have disconnected. */
     private boolean wasAcceptedLate;
     private ChannelFuture lastWrite;
     private boolean isReceivingInPieces;
@@ -122,7 +122,7 @@
         return isReceivingInPieces;
     }
 
-    /** Whether a valid request has been received; connections of misbehaving clients never get that far. */
+    /** Whether a valid POST request has been received; it never is on connections of misbehaving clients. */
     boolean hasSentRequest() {
         return hasSentRequest;
     }
@@ -157,7 +157,8 @@
 
     /**
      * Reads and handles one request after another. An answer that is sent from within this method does not start it again.
-     * One request is read ahead of its turn, so that an invalid message is rejected at once and not after the current request.
+     * The next request is read while the current one is served, so that an invalid message is rejected at once and not after
+     * the current request.
      */
     private void processInput() {
         if (isProcessing) {
@@ -194,7 +195,7 @@
 
     /**
      * Rejects pipelined input beyond the limits, which would fill the heap. Reading is never suspended instead, because a
-     * client's disconnect is only noticed behind all that it sent.
+     * client's disconnect is only noticed when all that the client sent before has been read.
      */
     private void limitPipelining() {
         int unreadBytes = queuedRequest == null ? 0 : unreadInput.readableBytes();
@@ -348,18 +349,18 @@
         private final RequestFields fields;
         private final int requestClass;
         private final byte[] body;
-        private final IncomingRequest validated;
+        private final IncomingRequest validatedRequest;
 
-        PendingValidation(RequestFields fields, int requestClass, byte[] body, IncomingRequest validated) {
+        PendingValidation(RequestFields fields, int requestClass, byte[] body, IncomingRequest validatedRequest) {
             this.fields = fields;
             this.requestClass = requestClass;
             this.body = body;
-            this.validated = validated;
+            this.validatedRequest = validatedRequest;
         }
 
-        /** Whether the client has left or was rejected during the validation. */
+        /** Whether the client has disconnected or was rejected during the validation. */
         private boolean isStale() {
-            return isClosed || isClosing || currentRequest != validated;
+            return isClosed || isClosing || currentRequest != validatedRequest;
         }
 
         @Override public void onAccepted(ResponseContract contract) {
@@ -385,7 +386,7 @@
         }
     }
 
-    /** Submits the current request, after {@link #LATE_ACCEPT_WAIT_MICROS} if its client may have left. */
+    /** Submits the current request, after {@link #LATE_ACCEPT_WAIT_MICROS} if its client may have disconnected. */
     private void submit(RequestFields fields, int requestClass, byte[] body) {
         if (!wasAcceptedLate) {
             submit(fields, requestClass, body, true);
@@ -401,7 +402,7 @@
     }
 
     private void submit(RequestFields fields, int requestClass, byte[] body, boolean isDeadlineKnown) {
-        if (frontend.isPastFinalAnswers()) {     // the validation has taken until then
+        if (frontend.isPastFinalAnswers()) {     // the validation or the wait may have lasted until then
             refuse(requestClass);
             return;
         }
@@ -412,7 +413,7 @@
             frontend.classDeadlineMicros(requestClass));
         long submittedId = frontend.engine().submit(this, forwarded, requestClass, frontend.tenantIndex(fields.tenant()),
             fields.slots(), currentRequest.completeMicros + timeoutMicros, isDeadlineKnown);
-        engineRequestId = isAwaitingAnswer ? submittedId : 0;     // it may be answered already
+        engineRequestId = isAwaitingAnswer ? submittedId : 0;     // the request may be answered already
     }
 
     /** Answers operators' requests for readiness and metrics. */
@@ -437,16 +438,16 @@
     }
 
     /**
-     * Formats microseconds as seconds with three decimals, at least 0.001. Uses no formatter, which took a third of the time
-     * of a refusal.
+     * Formats microseconds as seconds with three decimals, at least 0.001. Uses no formatter, which would take a third of the
+     * time of a refusal.
      */
     static String formatSeconds(long micros) {
         long millis = Math.max(1, (micros + 500) / 1000);
         return millis / 1000 + "." + Long.toString(1000 + millis % 1000).substring(1);
     }
 
-    @Override public void onFailed(boolean isLate) {
-        sendResponse(isLate ? 504 : 500, isLate ? "Gateway Timeout" : "Internal Server Error", "", new byte[0]);
+    @Override public void onFailed(boolean timedOut) {
+        sendResponse(timedOut ? 504 : 500, timedOut ? "Gateway Timeout" : "Internal Server Error", "", new byte[0]);
     }
 
     private void sendResponse(int status, String reason, String headers, byte[] content) {
@@ -480,21 +481,21 @@
     }
 
     private void sendErrorAndClose(int status, String reason, String message) {
-        long openRequest = isAwaitingAnswer ? engineRequestId : 0;
+        long openEngineRequestId = isAwaitingAnswer ? engineRequestId : 0;
         finishRequest();
         keepAlive = false;
-        if (openRequest != 0) {
-            frontend.engine().clientDisconnected(openRequest);
+        if (openEngineRequestId != 0) {
+            frontend.engine().clientDisconnected(openEngineRequestId);
         }
         lingeringClose(channel.writeAndFlush(MessageEncoder.response(status, reason, "", (message + "\n")
             .getBytes(StandardCharsets.UTF_8), false)));
     }
 
     /**
-     * Closes the connection from this side: waits for the last write, shuts down the output, and reads on for a limited time
-     * and number of bytes. Closing with unread input, in the kernel or here, would reset the connection and lose the response
-     * on its way. Input that is read from here on is discarded; the client sees the end of the stream and sends its request
-     * again.
+     * Closes the connection from this side: waits for the last write, shuts down the output, and then still reads for a
+     * limited time and number of bytes. Closing with unread input, in the kernel or here, would reset the connection and lose
+     * the response on its way. Input that is read from here on is discarded; the client sees the end of the stream and
+     * sends its request again.
      */
     private void lingeringClose(ChannelFuture written) {
         isClosing = true;
@@ -552,7 +553,7 @@
     void close() {
         if (!isClosed && !isClosing) {
             keepAlive = false;
-            // Waits for the last write, as shutting down the output drops what has not been sent.
+            // Waits for the last write, as shutting down the output discards what has not been sent.
             lingeringClose(lastWrite);
         }
     }
@@ -567,11 +568,11 @@
         isClosed = true;
         frontend.connectionClosed(this);
         frontend.deadlines().cancel(readTimeout);
-        long openRequest = isAwaitingAnswer ? engineRequestId : 0;
+        long openEngineRequestId = isAwaitingAnswer ? engineRequestId : 0;
         finishRequest();
         discardInput();
-        if (openRequest != 0) {
-            frontend.engine().clientDisconnected(openRequest);
+        if (openEngineRequestId != 0) {
+            frontend.engine().clientDisconnected(openEngineRequestId);
         }
     }
 
--- a/src/main/java/badgermux/http/MessageReader.java
+++ b/src/main/java/badgermux/http/MessageReader.java
@@ -6,8 +6,8 @@
 import java.util.List;
 
 /**
- * Incremental parser of the HTTP/1.1 messages on one connection. A body ends by Content-Length, by its last chunk or, in a
- * response, at the end of the connection.
+ * Incremental parser of the HTTP/1.1 messages on one connection. The end of a body is given by Content-Length, by its last
+ * chunk or, in a response, by the end of the connection.
  */
 public final class MessageReader {
     /** Receives the parts of a message, in their order. */
@@ -21,7 +21,7 @@
 
     /** The longest head, and the longest trailer. */
     public static final int MAX_HEAD_BYTES = 16 * 1024;
-    /** The longest line with a chunk's size. */
+    /** The longest line with a chunk's size and extensions. */
     private static final int MAX_CHUNK_LINE_BYTES = 256;
     /** The longest method of a request. */
     private static final int MAX_METHOD_BYTES = 16;
@@ -37,12 +37,13 @@
     /** The head or line that is being read. */
     private byte[] line = new byte[512];
     private int lineLength;
-    private int leadingLineEnds;
+    /** CR and LF bytes skipped before the head. */
+    private int leadingLineEndBytes;
     private boolean isMethodComplete;
-    private int trailerLength;
-    /** Bytes to come of a body of fixed length or of a chunk. */
-    private long remaining;
-    private long bodyLength;
+    private int trailerBytes;
+    /** Bytes that are still to be read of a body of fixed length, of a chunk or, until the close, of the present input. */
+    private long remainingBytes;
+    private long bodyBytes;
 
     /**
      * Creates a parser for one connection.
@@ -75,7 +76,7 @@
                 case CHUNK_END -> readLine(in, 2) && endChunk();
                 case TRAILER -> readLine(in, MAX_HEAD_BYTES) && readTrailerLine();
                 case UNTIL_CLOSE -> {
-                    remaining = in.readableBytes();
+                    remainingBytes = in.readableBytes();
                     readData(in);
                     yield false;
                 }
@@ -98,8 +99,8 @@
         while (in.isReadable()) {
             byte b = in.readByte();
             // Some clients send a line end after a body that its Content-Length does not include.
-            if (lineLength == 0 && (b == '\r' || b == '\n') && leadingLineEnds < 2) {
-                leadingLineEnds++;
+            if (lineLength == 0 && (b == '\r' || b == '\n') && leadingLineEndBytes < 2) {
+                leadingLineEndBytes++;
                 continue;
             }
             checkControlByte(b);
@@ -110,7 +111,7 @@
             if (b == '\n' && endsWith("\r\n\r\n")) {
                 String text = new String(line, 0, lineLength - 4, StandardCharsets.ISO_8859_1);
                 lineLength = 0;
-                leadingLineEnds = 0;
+                leadingLineEndBytes = 0;
                 isMethodComplete = false;
                 return startBody(MessageHead.parse(text));
             }
@@ -123,7 +124,7 @@
         if (readsResponses && status < 200) {
             return false;   // interim response: the final one follows
         }
-        bodyLength = 0;
+        bodyBytes = 0;
         List<String> lengths = head.values("Content-Length");
         List<String> codings = head.values("Transfer-Encoding");
         // With an ambiguous length, two parsers could find different ends of the message.
@@ -131,14 +132,14 @@
             || !codings.get(0).equalsIgnoreCase("chunked"))) {
             throw new InvalidMessageException(400, "transfer coding that is not understood");
         }
-        remaining = lengths.isEmpty() ? 0 : parseContentLength(lengths);
-        if (remaining > maxBodyBytes) {
+        remainingBytes = lengths.isEmpty() ? 0 : parseContentLength(lengths);
+        if (remainingBytes > maxBodyBytes) {
             throw new InvalidMessageException(413, "body too long");
         }
         boolean isWithoutBody = status == 204 || status == 304;
         if (!codings.isEmpty() && !isWithoutBody) {
             state = State.CHUNK_SIZE;
-        } else if (remaining > 0 && !isWithoutBody) {
+        } else if (remainingBytes > 0 && !isWithoutBody) {
             state = State.FIXED_LENGTH;
         } else if (readsResponses && lengths.isEmpty() && !isWithoutBody) {
             state = State.UNTIL_CLOSE;
@@ -148,25 +149,25 @@
     }
 
     private static long parseContentLength(List<String> lengths) throws InvalidMessageException {
-        String first = lengths.get(0);
-        if (first.isEmpty() || first.length() > 18 || !first.chars().allMatch(c -> c >= '0' && c <= '9')
+        String digits = lengths.get(0);
+        if (digits.isEmpty() || digits.length() > 18 || !digits.chars().allMatch(c -> c >= '0' && c <= '9')
             || lengths.size() > 1) {
             throw new InvalidMessageException(400, "bad Content-Length");
         }
-        return Long.parseLong(first);
+        return Long.parseLong(digits);
     }
 
-    /** Passes the available bytes of a body or a chunk on; returns whether the message is complete. */
+    /** Passes the available bytes of a body or a chunk to the listener; returns whether the message is complete. */
     private boolean readData(ByteBuf in) throws InvalidMessageException {
-        byte[] bytes = new byte[(int) Math.min(remaining, in.readableBytes())];
+        byte[] bytes = new byte[(int) Math.min(remainingBytes, in.readableBytes())];
         in.readBytes(bytes);
-        remaining -= bytes.length;
-        bodyLength += bytes.length;
-        if (bodyLength > maxBodyBytes) {
+        remainingBytes -= bytes.length;
+        bodyBytes += bytes.length;
+        if (bodyBytes > maxBodyBytes) {
             throw new InvalidMessageException(413, "body too long");
         }
         listener.onBody(bytes);
-        if (remaining > 0 || state == State.UNTIL_CLOSE) {
+        if (remainingBytes > 0 || state == State.UNTIL_CLOSE) {
             return false;
         }
         boolean isComplete = state == State.FIXED_LENGTH;
@@ -176,18 +177,18 @@
 
     private boolean startChunk() throws InvalidMessageException {
         String text = takeLineText();
-        int extension = text.indexOf(';');
-        String size = extension < 0 ? text : text.substring(0, extension);
+        int extensionStart = text.indexOf(';');
+        String size = extensionStart < 0 ? text : text.substring(0, extensionStart);
         if (size.isEmpty() || size.length() > 8
             || !size.chars().allMatch(c -> Character.digit(c, 16) >= 0 && c < 128)) {
             throw new InvalidMessageException(400, "bad chunk size");
         }
-        remaining = Long.parseLong(size, 16);
-        if (bodyLength + remaining > maxBodyBytes) {
+        remainingBytes = Long.parseLong(size, 16);
+        if (bodyBytes + remainingBytes > maxBodyBytes) {
             throw new InvalidMessageException(413, "body too long");
         }
-        trailerLength = 0;
-        state = remaining == 0 ? State.TRAILER : State.CHUNK_DATA;
+        trailerBytes = 0;
+        state = remainingBytes == 0 ? State.TRAILER : State.CHUNK_DATA;
         return false;
     }
 
@@ -201,8 +202,8 @@
 
     private boolean readTrailerLine() throws InvalidMessageException {
         String text = takeLineText();
-        trailerLength += text.length();
-        if (trailerLength > MAX_HEAD_BYTES) {
+        trailerBytes += text.length();
+        if (trailerBytes > MAX_HEAD_BYTES) {
             throw new InvalidMessageException(431, "trailer too long");
         }
         if (!text.isEmpty()) {
--- a/src/main/java/badgermux/zone/ZonePolicy.java
+++ b/src/main/java/badgermux/zone/ZonePolicy.java
@@ -19,8 +19,8 @@
 /**
  * Tracks the health of zones for one dispatcher and limits the requests it sends to them.
  *
- * <p>The evidence is the outcomes of the dispatcher's own attempts and probes, correlated over a zone. The backend list is
- * seconds late and only supplements it.
+ * <p>The evidence is the outcomes of the dispatcher's own attempts and probes, combined over all backends of a zone.
+ * The backend list is seconds late and only supplements it.
  *
  * <p>Spill is limited to a share of the receiving zone's slots, divided among the dispatchers outside it. The limit applies
  * to the slots in use and, as a rate, to slot-seconds per second. Trunk reservation keeps part of it for the classes of
@@ -63,7 +63,10 @@
     private static final int FAILING_PROBE_INTERVAL_MICROS = 500_000;
     /** Delays the next probe of a backend in a lost zone by up to this span, which differs by backend and dispatcher. */
     private static final long PROBE_SPREAD_MICROS = 300_000L;
-    /** A request is taken to run at most this many standard deviations above the mean: 1 % of a gamma of shape 2 exceeds it. */
+    /**
+     * A request is taken to run at most this many standard deviations above the mean: 1 % of a gamma distribution of
+     * shape 2 exceeds it.
+     */
     private static final double LARGE_REQUEST_DEVIATIONS = 3.5;
     /** The limit of a returning zone exceeds its share of the usual load by this factor. */
     private static final double RETURN_LIMIT_FACTOR = 1.3;
@@ -71,7 +74,7 @@
     private static final double MAX_STAGE_FAILURE_SHARE = 0.2;
     /** A silent backend counts as evidence for this multiple of the evidence window after its first failure. */
     private static final int SILENCE_WINDOWS = 16;
-    /** Another zone proves that the own network works if it responded this long after the failures began. */
+    /** Another zone proves that the own network works if it responded more than this span after the failures began. */
     private static final int OTHER_ZONE_DELAY_MICROS = 200_000;
 
     /** An attempt whose slots count as in use: it is in flight, or was given up and may still run on its backend. */
@@ -84,7 +87,7 @@
     private final Zone[] zones;
     /** By request class, the share of the spill bound that the class may not use. */
     private final double[] spillReserves;
-    /** By request class, the mean slot-seconds of a run per slot, the mean of their square, and the number of runs. */
+    /** By request class, the mean run time in seconds at [0], the mean of its square at [1], and the number of runs at [2]. */
     private final double[][] runStatistics;
     private final Map<Long, ZoneBackend> backends = new HashMap<>();
     /** By request id, the attempts by attempt number; null for one that ended. */
@@ -96,7 +99,7 @@
     /** The time of the last periodic check; 0 before the first. */
     private long lastRoundAt;
     private int listUpdateCount;
-    /** The number of full lists to which backends were added back. */
+    /** The number of full lists to which {@link #keepUnlistedBackends} added backends. */
     private long correctedListCount;
 
     /**
@@ -160,26 +163,29 @@
     @Override public boolean admits(long now, Request request, boolean repeatable, int attempts, Backend backend, double load,
             int tier) {
         Zone zone = zones[backend.zone()];
-        ZoneBackend member = backends.get(backend.id());
-        if (member == null) {
+        ZoneBackend zoneBackend = backends.get(backend.id());
+        if (zoneBackend == null) {
             return true;
         }
-        if (!isSafeForColdBackend(now, zone, member, request, believedStartMicros(backend))) {
+        if (!isSafeForColdBackend(now, zone, zoneBackend, request, believedStartMicros(backend))) {
             return false;
         }
         boolean isFirstChoice = backend.zone() == settings.ownZone || tier == 0;
         if (!isFirstChoice) {
-            return maySpill(zone, request, member, load);
+            return maySpill(zone, request, zoneBackend, load);
         }
         return switch (zone.health) {
-            case DARK -> attempts == 0 && member.attemptsInFlight == 0 && isTrialDue(now, zone, repeatable);
-            case RETURNING -> member.recoveredAt >= zone.lastLostAt && zone.slotsInFlight < returningSlotLimit(zone)
-                && freeSlots(member, load) >= request.slots();
-            default -> isKnown(now, member) || member.attemptsInFlight == 0;
+            case DARK -> attempts == 0 && zoneBackend.attemptsInFlight == 0 && isTrialDue(now, zone, repeatable);
+            case RETURNING -> zoneBackend.recoveredAt >= zone.lastLostAt && zone.slotsInFlight < returningSlotLimit(zone)
+                && freeSlots(zoneBackend, load) >= request.slots();
+            default -> isKnown(now, zoneBackend) || zoneBackend.attemptsInFlight == 0;
         };
     }
 
-    /** Returns the slots that this dispatcher may use in a returning zone: the stage's share of the slots it usually uses. */
+    /**
+     * Returns the slots that this dispatcher may use in a returning zone: the stage's share of the slots that it usually uses,
+     * times {@link #RETURN_LIMIT_FACTOR}, and 1 at least.
+     */
     private double returningSlotLimit(Zone zone) {
         double usual = zone.usualSlotsInFlight > 0 ? zone.usualSlotsInFlight
             : zone.usableSlots(0, settings.defaultSlotsPerBackend) / settings.dispatcherCount;
@@ -187,17 +193,17 @@
     }
 
     /** Whether a request may spill to a backend: both the zone's spill bound and the backend must have room for it. */
-    private boolean maySpill(Zone zone, Request request, ZoneBackend member, double load) {
+    private boolean maySpill(Zone zone, Request request, ZoneBackend zoneBackend, double load) {
         if (zone.health == ZoneHealth.DARK || zone.health == ZoneHealth.RETURNING) {
             return false;
         }
-        double headroom = settings.spillHeadroomShare * zone.estimatedSlots(member, settings.defaultSlotsPerBackend);
-        return hasSpillRoom(zone, request) && freeSlots(member, load) - request.slots() >= headroom;
+        double headroom = settings.spillHeadroomShare * zone.estimatedSlots(zoneBackend, settings.defaultSlotsPerBackend);
+        return hasSpillRoom(zone, request) && freeSlots(zoneBackend, load) - request.slots() >= headroom;
     }
 
     /** Returns a backend's free slots; if it never reported any, the default less what this dispatcher's requests use. */
-    private double freeSlots(ZoneBackend member, double load) {
-        return member.reportedSlots > 0 ? -load : settings.defaultSlotsPerBackend - load;
+    private double freeSlots(ZoneBackend zoneBackend, double load) {
+        return zoneBackend.reportedSlots > 0 ? -load : settings.defaultSlotsPerBackend - load;
     }
 
     /**
@@ -213,8 +219,8 @@
     }
 
     /**
-     * Whether a dark zone may get a trial request now. Dispatchers take turns of one second by their index, and each sends
-     * one trial in its turn; only repeatable requests serve as trials.
+     * Whether a dark zone may get a trial request now. After the hold, dispatchers take turns of one second by their index,
+     * and each sends one trial in its turn; only repeatable requests serve as trials.
      */
     private boolean isTrialDue(long now, Zone zone, boolean repeatable) {
         boolean isOwnTurn = Math.floorMod(now / TRIAL_INTERVAL_MICROS, (long) settings.dispatcherCount)
@@ -227,9 +233,10 @@
      * Whether a backend has responded since its zone was last lost or, without a loss, since this dispatcher started; until it
      * has, only the list says that it exists. Without a loss, all backends count as known after the learning time.
      */
-    private boolean isKnown(long now, ZoneBackend member) {
-        return zones[member.zone].lastLostAt != ZoneBackend.NEVER ? member.recoveredAt >= zones[member.zone].lastLostAt
-            : member.recoveredAt != ZoneBackend.NEVER || now - firstListAt >= settings.learningMicros;
+    private boolean isKnown(long now, ZoneBackend zoneBackend) {
+        return zones[zoneBackend.zone].lastLostAt != ZoneBackend.NEVER
+            ? zoneBackend.recoveredAt >= zones[zoneBackend.zone].lastLostAt
+            : zoneBackend.recoveredAt != ZoneBackend.NEVER || now - firstListAt >= settings.learningMicros;
     }
 
     /**
@@ -237,12 +244,12 @@
      * at its first response, or just now if it has not responded: the list shows a restart seconds late.
      */
     @Override public long believedStartMicros(Backend backend) {
-        ZoneBackend member = backends.get(backend.id());
-        if (member == null || zones[member.zone].lastLostAt == ZoneBackend.NEVER) {
+        ZoneBackend zoneBackend = backends.get(backend.id());
+        if (zoneBackend == null || zones[zoneBackend.zone].lastLostAt == ZoneBackend.NEVER) {
             return backend.startedAtMicros();
         }
         return Math.max(backend.startedAtMicros(),
-            member.recoveredAt >= zones[member.zone].lastLostAt ? member.recoveredAt : lastRoundAt);
+            zoneBackend.recoveredAt >= zones[zoneBackend.zone].lastLostAt ? zoneBackend.recoveredAt : lastRoundAt);
     }
 
     /**
@@ -270,7 +277,7 @@
      * Whether a single request cannot overload a cold backend even if it runs far longer than the mean of its class. A budget
      * based on means does not protect a backend from one request of many times the mean.
      */
-    private boolean isSafeForColdBackend(long now, Zone zone, ZoneBackend member, Request request, long startedAt) {
+    private boolean isSafeForColdBackend(long now, Zone zone, ZoneBackend zoneBackend, Request request, long startedAt) {
         long age = now - startedAt;
         if (startedAt == 0 || age >= settings.warmUpMicros) {
             return true;
@@ -284,7 +291,7 @@
         double capacityShare = settings.coldCapacityShare
             + (1 - settings.coldCapacityShare) * age / Math.max(1, settings.warmUpMicros);
         return largeSlotSeconds <= settings.overloadMultiple * capacityShare
-            * zone.estimatedSlots(member, settings.defaultSlotsPerBackend) * settings.overloadWindowMicros / 1e6;
+            * zone.estimatedSlots(zoneBackend, settings.defaultSlotsPerBackend) * settings.overloadWindowMicros / 1e6;
     }
 
     // ---- Events
@@ -301,50 +308,50 @@
             if (backend.zone() < 0 || backend.zone() >= zones.length) {
                 continue;
             }
-            ZoneBackend member = backends.computeIfAbsent(backend.id(), id -> {
+            ZoneBackend zoneBackend = backends.computeIfAbsent(backend.id(), id -> {
                 ZoneBackend added = new ZoneBackend(id, backend.zone());
                 zones[backend.zone()].backends.add(added);
                 return added;
             });
-            member.lastListUpdate = listUpdateCount;
-            setReady(member, backend.state() == BackendState.READY);
+            zoneBackend.lastListUpdate = listUpdateCount;
+            setReady(zoneBackend, backend.state() == BackendState.READY);
         }
         if (update != ListUpdate.DELTA && update != ListUpdate.FAILED) {
-            backends.values().stream().filter(member -> member.lastListUpdate != listUpdateCount)
-                .forEach(member -> setReady(member, false));
+            backends.values().stream().filter(zoneBackend -> zoneBackend.lastListUpdate != listUpdateCount)
+                .forEach(zoneBackend -> setReady(zoneBackend, false));
         }
-        backends.values().removeIf(member -> !member.ready && member.attemptsInFlight == 0
-            && now - member.lastAliveAt > settings.lossMemoryMicros && removeFromZone(member));
+        backends.values().removeIf(zoneBackend -> !zoneBackend.ready && zoneBackend.attemptsInFlight == 0
+            && now - zoneBackend.lastAliveAt > settings.lossMemoryMicros && removeFromZone(zoneBackend));
         for (Zone zone : zones) {
             zone.usualReadyCount = Math.max(zone.usualReadyCount, zone.readyCount);
         }
     }
 
     /** Removes a backend from its zone's sets and sums; always true, for use in a condition. */
-    private boolean removeFromZone(ZoneBackend member) {
-        zones[member.zone].failingBackends.remove(member);
-        zones[member.zone].backends.remove(member);
-        if (member.reportedSlots > 0) {
-            zones[member.zone].reportedSlotSum -= member.reportedSlots;
-            zones[member.zone].reportingBackendCount--;
+    private boolean removeFromZone(ZoneBackend zoneBackend) {
+        zones[zoneBackend.zone].failingBackends.remove(zoneBackend);
+        zones[zoneBackend.zone].backends.remove(zoneBackend);
+        if (zoneBackend.reportedSlots > 0) {
+            zones[zoneBackend.zone].reportedSlotSum -= zoneBackend.reportedSlots;
+            zones[zoneBackend.zone].reportingBackendCount--;
         }
         return true;
     }
 
-    private void setReady(ZoneBackend member, boolean ready) {
-        if (member.ready != ready) {
-            zones[member.zone].readyCount += ready ? 1 : -1;
-            member.ready = ready;
+    private void setReady(ZoneBackend zoneBackend, boolean ready) {
+        if (zoneBackend.ready != ready) {
+            zones[zoneBackend.zone].readyCount += ready ? 1 : -1;
+            zoneBackend.ready = ready;
             if (!ready) {
-                zones[member.zone].failingBackends.remove(member);
+                zones[zoneBackend.zone].failingBackends.remove(zoneBackend);
             }
         }
     }
 
     /**
      * Returns a list update, with backends added back that it omits but that still respond. A full list that omits more than
-     * half of the ready backends without showing them as draining first is likely wrong. Disabled by default, because at a
-     * site where an unlisted backend is gone for certain the result would be wrong.
+     * half of the ready backends without showing them as draining first is likely wrong. Disabled by default, because in
+     * an installation where an unlisted backend is gone for certain the result would be wrong.
      *
      * @param before the backends before the update, by id
      */
@@ -361,8 +368,9 @@
             return list;
         }
         missing.removeIf(backend -> {
-            ZoneBackend member = backends.get(backend.id());
-            return member == null || member.consecutiveFailures > 0 || now - member.lastAliveAt > settings.evidenceWindowMicros;
+            ZoneBackend zoneBackend = backends.get(backend.id());
+            return zoneBackend == null || zoneBackend.consecutiveFailures > 0
+                || now - zoneBackend.lastAliveAt > settings.evidenceWindowMicros;
         });
         if (!missing.isEmpty()) {
             correctedListCount++;
@@ -374,17 +382,17 @@
         return kept;
     }
 
-    @Override public void attemptSent(long now, Request request, int attempt, Backend backend,
+    @Override public void attemptSent(long now, Request request, int attemptNumber, Backend backend,
             double expectedSlotSeconds) {
-        ZoneBackend member = backends.get(backend.id());
+        ZoneBackend zoneBackend = backends.get(backend.id());
         Zone zone = zones[backend.zone()];
         boolean isSpill = tierOf(request.classIndex(), backend.zone()) > 0;
         SentAttempt sentAttempt = new SentAttempt(backend.zone(), request.slots(), expectedSlotSeconds, isSpill);
         List<SentAttempt> attempts = attemptsByRequest.computeIfAbsent(request.id(), id -> new ArrayList<>(2));
-        while (attempts.size() <= attempt) {
+        while (attempts.size() <= attemptNumber) {
             attempts.add(null);
         }
-        attempts.set(attempt, sentAttempt);
+        attempts.set(attemptNumber, sentAttempt);
         zone.slotsInFlight += sentAttempt.slots;
         if (isSpill) {
             zone.spilledSlots += sentAttempt.slots;
@@ -394,24 +402,25 @@
         if (zone.health == ZoneHealth.DARK) {
             zone.lastTrialAt = now;
         }
-        if (member != null) {
-            member.attemptsInFlight++;
+        if (zoneBackend != null) {
+            zoneBackend.attemptsInFlight++;
         }
     }
 
-    @Override public void attemptEnded(long now, Request request, int attempt, Backend backend, Outcome outcome,
+    @Override public void attemptEnded(long now, Request request, int attemptNumber, Backend backend, Outcome outcome,
             double slotSeconds) {
         List<SentAttempt> attempts = attemptsByRequest.get(request.id());
-        SentAttempt sentAttempt = attempts == null || attempt >= attempts.size() ? null : attempts.set(attempt, null);
+        SentAttempt sentAttempt = attempts == null || attemptNumber >= attempts.size() ? null
+            : attempts.set(attemptNumber, null);
         if (sentAttempt == null) {
             return;
         }
         if (attempts.stream().allMatch(Objects::isNull)) {
             attemptsByRequest.remove(request.id());
         }
-        ZoneBackend member = backends.get(backend.id());
-        if (member != null) {
-            member.attemptsInFlight--;
+        ZoneBackend zoneBackend = backends.get(backend.id());
+        if (zoneBackend != null) {
+            zoneBackend.attemptsInFlight--;
         }
         if (outcome == Outcome.SERVED && slotSeconds > 0 && request.classIndex() < runStatistics.length
                 && request.slots() > 0) {
@@ -444,23 +453,23 @@
     }
 
     @Override public void backendResponded(long now, long backendId) {
-        ZoneBackend member = backends.get(backendId);
-        if (member == null) {
+        ZoneBackend zoneBackend = backends.get(backendId);
+        if (zoneBackend == null) {
             return;
         }
-        Zone zone = zones[member.zone];
-        zone.recordAlive(now, member, settings.evidenceWindowMicros);
-        if (member.recoveredAt == ZoneBackend.NEVER || member.recoveredAt < zone.lastLostAt
-                || member.isSilent(now) && zone.health != ZoneHealth.WHOLE) {
-            member.recoveredAt = now;
+        Zone zone = zones[zoneBackend.zone];
+        zone.recordAlive(now, zoneBackend, settings.evidenceWindowMicros);
+        if (zoneBackend.recoveredAt == ZoneBackend.NEVER || zoneBackend.recoveredAt < zone.lastLostAt
+                || zoneBackend.isSilent(now) && zone.health != ZoneHealth.WHOLE) {
+            zoneBackend.recoveredAt = now;
         }
-        member.lastAliveAt = now;
+        zoneBackend.lastAliveAt = now;
         zone.lastAliveAt = now;
-        member.consecutiveFailures = 0;
-        member.connectFailures = 0;
-        member.resets = 0;
-        member.timeouts = 0;
-        zone.failingBackends.remove(member);
+        zoneBackend.consecutiveFailures = 0;
+        zoneBackend.connectFailures = 0;
+        zoneBackend.resets = 0;
+        zoneBackend.timeouts = 0;
+        zone.failingBackends.remove(zoneBackend);
         zone.successesInStage++;
     }
 
@@ -470,22 +479,22 @@
 
     /** Records a failure; {@code outcome} is null for a request that did not start and for a probe without an answer. */
     private void recordFailure(long now, long backendId, Outcome outcome) {
-        ZoneBackend member = backends.get(backendId);
-        if (member == null || !member.ready) {
+        ZoneBackend zoneBackend = backends.get(backendId);
+        if (zoneBackend == null || !zoneBackend.ready) {
             return;
         }
-        member.firstFailureAt = member.consecutiveFailures == 0 ? now : member.firstFailureAt;
-        member.consecutiveFailures++;
-        member.connectFailures += outcome == Outcome.CONNECT_FAILED ? 1 : 0;
-        member.resets += outcome == Outcome.RESET ? 1 : 0;
-        member.timeouts += outcome == null || outcome == Outcome.TIMED_OUT ? 1 : 0;
-        zones[member.zone].failingBackends.add(member);
-        zones[member.zone].failuresInStage++;
+        zoneBackend.firstFailureAt = zoneBackend.consecutiveFailures == 0 ? now : zoneBackend.firstFailureAt;
+        zoneBackend.consecutiveFailures++;
+        zoneBackend.connectFailures += outcome == Outcome.CONNECT_FAILED ? 1 : 0;
+        zoneBackend.resets += outcome == Outcome.RESET ? 1 : 0;
+        zoneBackend.timeouts += outcome == null || outcome == Outcome.TIMED_OUT ? 1 : 0;
+        zones[zoneBackend.zone].failingBackends.add(zoneBackend);
+        zones[zoneBackend.zone].failuresInStage++;
     }
 
     @Override public void probeEnded(long now, long backendId, boolean answered, double slots) {
-        ZoneBackend member = backends.get(backendId);
-        if (member == null) {
+        ZoneBackend zoneBackend = backends.get(backendId);
+        if (zoneBackend == null) {
             return;
         }
         if (!answered) {
@@ -493,11 +502,11 @@
             return;
         }
         backendResponded(now, backendId);
-        Zone zone = zones[member.zone];
-        if (slots > member.reportedSlots) {
-            zone.reportingBackendCount += member.reportedSlots == 0 ? 1 : 0;
-            zone.reportedSlotSum += slots - member.reportedSlots;
-            member.reportedSlots = slots;
+        Zone zone = zones[zoneBackend.zone];
+        if (slots > zoneBackend.reportedSlots) {
+            zone.reportingBackendCount += zoneBackend.reportedSlots == 0 ? 1 : 0;
+            zone.reportedSlotSum += slots - zoneBackend.reportedSlots;
+            zoneBackend.reportedSlots = slots;
         }
     }
 
@@ -533,33 +542,33 @@
     /** Probes a few backends of a dark or returning zone; the order varies with time and with the dispatcher's index. */
     private void probeLostZone(long now, Zone zone, List<Long> probes) {
         int limit = zone.health == ZoneHealth.DARK ? PROBES_PER_ROUND : 2 * PROBES_PER_ROUND;
-        for (ZoneBackend member : zone.failingBackends) {
+        for (ZoneBackend zoneBackend : zone.failingBackends) {
             if (probes.size() >= limit) {
                 return;
             }
-            if (now - member.lastProbedAt >= LOST_PROBE_INTERVAL_MICROS && member.ready) {
-                member.lastProbedAt = now
-                    + Math.floorMod(member.id * 31 + settings.dispatcherIndex * 7919L, PROBE_SPREAD_MICROS);
-                probes.add(member.id);
+            if (now - zoneBackend.lastProbedAt >= LOST_PROBE_INTERVAL_MICROS && zoneBackend.ready) {
+                zoneBackend.lastProbedAt = now
+                    + Math.floorMod(zoneBackend.id * 31 + settings.dispatcherIndex * 7919L, PROBE_SPREAD_MICROS);
+                probes.add(zoneBackend.id);
             }
         }
         // A backend that was not tried since the loss has neither failed nor responded.
         if (zone.failingBackends.size() < zone.readyCount && probes.size() < limit) {
-            for (ZoneBackend member : zone.backends) {
+            for (ZoneBackend zoneBackend : zone.backends) {
                 if (probes.size() >= limit) {
                     return;
                 }
-                if (member.ready && member.recoveredAt < zone.lastLostAt
-                        && now - member.lastProbedAt >= LOST_PROBE_INTERVAL_MICROS) {
-                    member.lastProbedAt = now
-                        + Math.floorMod(member.id * 31 + settings.dispatcherIndex * 7919L, PROBE_SPREAD_MICROS);
-                    probes.add(member.id);
+                if (zoneBackend.ready && zoneBackend.recoveredAt < zone.lastLostAt
+                        && now - zoneBackend.lastProbedAt >= LOST_PROBE_INTERVAL_MICROS) {
+                    zoneBackend.lastProbedAt = now
+                        + Math.floorMod(zoneBackend.id * 31 + settings.dispatcherIndex * 7919L, PROBE_SPREAD_MICROS);
+                    probes.add(zoneBackend.id);
                 }
             }
         }
     }
 
-    /** Probes one backend of a zone that gets too few requests to show a loss before requests are sent there. */
+    /** Probes one backend of a zone that gets too few requests to show its health, so that a loss shows before any are sent. */
     private void sampleZone(long now, Zone zone, List<Long> probes) {
         boolean isBusy = zone.failingBackends.isEmpty() && zone.slotsInFlight >= 2 * settings.minSilentBackends;
         if (isBusy || now - zone.lastSampledAt < settings.sampleIntervalMicros || zone.backends.isEmpty()) {
@@ -567,27 +576,27 @@
         }
         zone.lastSampledAt = now;
         // A backend that failed is probed first: a second failure makes it silent, and a response clears the first one.
-        for (ZoneBackend member : zone.failingBackends) {
-            if (member.ready && now - member.lastProbedAt >= FAILING_PROBE_INTERVAL_MICROS) {
-                member.lastProbedAt = now;
-                probes.add(member.id);
+        for (ZoneBackend zoneBackend : zone.failingBackends) {
+            if (zoneBackend.ready && now - zoneBackend.lastProbedAt >= FAILING_PROBE_INTERVAL_MICROS) {
+                zoneBackend.lastProbedAt = now;
+                probes.add(zoneBackend.id);
                 return;
             }
         }
         zone.lastSampleIndex = (zone.lastSampleIndex + 1) % zone.backends.size();
-        ZoneBackend member = zone.backends.get(zone.lastSampleIndex);
-        if (member.ready) {
-            member.lastProbedAt = now;
-            probes.add(member.id);
+        ZoneBackend zoneBackend = zone.backends.get(zone.lastSampleIndex);
+        if (zoneBackend.ready) {
+            zoneBackend.lastProbedAt = now;
+            probes.add(zoneBackend.id);
         }
     }
 
     /** Returns the number of silent backends whose failures began recently enough to be evidence. */
     private int countSilent(Zone zone, long now) {
         int silent = 0;
-        for (ZoneBackend member : zone.failingBackends) {
-            silent += member.isSilent(now) && now - member.firstFailureAt < SILENCE_WINDOWS * settings.evidenceWindowMicros
-                ? 1 : 0;
+        for (ZoneBackend zoneBackend : zone.failingBackends) {
+            silent += zoneBackend.isSilent(now)
+                && now - zoneBackend.firstFailureAt < SILENCE_WINDOWS * settings.evidenceWindowMicros ? 1 : 0;
         }
         return silent;
     }
@@ -622,7 +631,7 @@
                     changeHealth(now, zone, ZoneHealth.RETURNING, silent, alive);
                 }
             }
-            default -> {
+            default -> {    // RETURNING
                 if (isLost && !isUnlisted && countRecovered(zone) == 0 || zone.readyCount == 0) {
                     changeHealth(now, zone, ZoneHealth.DARK, silent, alive);
                 } else if (now - zone.healthSince >= settings.minStageMicros) {
@@ -652,15 +661,15 @@
 
     /** Returns the number of ready backends that responded after the zone was lost and have not failed since. */
     private long countRecovered(Zone zone) {
-        return zone.backends.stream().filter(member -> member.ready && member.recoveredAt >= zone.lastLostAt
-            && member.consecutiveFailures == 0).count();
+        return zone.backends.stream().filter(zoneBackend -> zoneBackend.ready && zoneBackend.recoveredAt >= zone.lastLostAt
+            && zoneBackend.consecutiveFailures == 0).count();
     }
 
     /** Returns the number of silent backends that {@link Zone#countAlive} counts because they responded within the window. */
     private int countSilentButRecentlyAlive(Zone zone, long now) {
         int count = 0;
-        for (ZoneBackend member : zone.failingBackends) {
-            count += member.isSilent(now) && now - member.lastAliveAt < settings.evidenceWindowMicros ? 1 : 0;
+        for (ZoneBackend zoneBackend : zone.failingBackends) {
+            count += zoneBackend.isSilent(now) && now - zoneBackend.lastAliveAt < settings.evidenceWindowMicros ? 1 : 0;
         }
         return count;
     }
@@ -671,8 +680,8 @@
      */
     private boolean isAnotherZoneAlive(Zone zone) {
         long firstFailureAt = Long.MAX_VALUE / 2;
-        for (ZoneBackend member : zone.failingBackends) {
-            firstFailureAt = Math.min(firstFailureAt, member.firstFailureAt);
+        for (ZoneBackend zoneBackend : zone.failingBackends) {
+            firstFailureAt = Math.min(firstFailureAt, zoneBackend.firstFailureAt);
         }
         boolean isAnotherAlive = false;
         for (Zone other : zones) {
@@ -681,7 +690,7 @@
         return isAnotherAlive;
     }
 
-    /** Returns how long a dark zone gets no requests: the initial hold, doubled with each loss that is not forgotten. */
+    /** Returns how long a dark zone gets no requests: the initial hold, doubled with each further loss not forgotten. */
     private long holdMicros(Zone zone) {
         return Math.min(settings.maxHoldMicros, settings.initialHoldMicros << Math.min(20, Math.max(0, zone.lossCount - 1)));
     }
@@ -702,10 +711,10 @@
         int connectFailures = 0;
         int resets = 0;
         int timeouts = 0;
-        for (ZoneBackend member : zone.failingBackends) {
-            connectFailures += member.connectFailures;
-            resets += member.resets;
-            timeouts += member.timeouts;
+        for (ZoneBackend zoneBackend : zone.failingBackends) {
+            connectFailures += zoneBackend.connectFailures;
+            resets += zoneBackend.resets;
+            timeouts += zoneBackend.timeouts;
         }
         zone.evidence = String.format(Locale.ROOT, "%d nodes fail (connects %d, breaks %d, silence %d), %d answered within "
             + "%.1f s, the list has %d of usually %.0f", silent, connectFailures, resets, timeouts, alive,
@@ -715,7 +724,7 @@
                 ? String.format(Locale.ROOT, "; no requests are sent there for %.1f s", holdMicros(zone) / 1e6) : ""));
     }
 
-    /** Opens the next tier below one share of usable backends and closes it above another. */
+    /** Opens the next tier at or below one share of usable backends or after a loss, and closes it at another share or above. */
     private void updateNextTier(Zone zone, long now) {
         double usableShare = zone.usualReadyCount < 1 ? 1
             : Math.max(0, zone.readyCount - countSilent(zone, now)) / zone.usualReadyCount;
--- a/src/main/java/badgermux/zone/ZoneSettings.java
+++ b/src/main/java/badgermux/zone/ZoneSettings.java
@@ -33,7 +33,7 @@
     public double darkShare = 0.7;
     /** The interval between probes of a zone to which this dispatcher sends too little to see its health. */
     public long sampleIntervalMicros = 300_000;
-    /** Fewer silent backends are not enough evidence against a zone, unless it has fewer ready backends. */
+    /** The number of silent backends that is enough evidence against a zone; all ready ones if it has fewer. */
     public int minSilentBackends = 3;
     /** Responses older than this are no evidence of a zone's health. */
     public long evidenceWindowMicros = 4_000_000;
@@ -69,7 +69,7 @@
     public boolean keepsUnlistedBackends;
 
     /**
-     * Returns these settings.
+     * Returns these settings if they are valid.
      *
      * @throws IllegalArgumentException if a value is out of range; its message goes to the caller of the admin API
      */
@@ -101,14 +101,15 @@
                 "stages must grow from above 0");
         }
         require(defaultSlotsPerBackend > 0, "slotsPerNode must be above 0");
-        for (int c = 0; tiersByClass != null && c < tiersByClass.length; c++) {
-            require(tiersByClass[c].length == zoneNames.size(), "tiers of class " + c + " must name each zone");
+        for (int classIndex = 0; tiersByClass != null && classIndex < tiersByClass.length; classIndex++) {
+            require(tiersByClass[classIndex].length == zoneNames.size(),
+                "tiers of class " + classIndex + " must name each zone");
             boolean hasFirstTier = false;
-            for (int tier : tiersByClass[c]) {
+            for (int tier : tiersByClass[classIndex]) {
                 hasFirstTier |= tier == 0;
-                require(tier >= -1 && tier < zoneNames.size(), "tiers of class " + c + " are out of range");
+                require(tier >= -1 && tier < zoneNames.size(), "tiers of class " + classIndex + " are out of range");
             }
-            require(hasFirstTier, "tiers of class " + c + " have no first one");
+            require(hasFirstTier, "tiers of class " + classIndex + " have no first one");
         }
         return this;
     }
@@ -123,11 +124,11 @@
         }
     }
 
-    /** Returns the number of tiers. */
+    /** Returns the number of tiers over all request classes. */
     int tierCount() {
         int count = 1;
-        for (int c = 0; tiersByClass != null && c < tiersByClass.length; c++) {
-            for (int tier : tiersByClass[c]) {
+        for (int classIndex = 0; tiersByClass != null && classIndex < tiersByClass.length; classIndex++) {
+            for (int tier : tiersByClass[classIndex]) {
                 count = Math.max(count, tier + 1);
             }
         }
