--- a/src/main/java/badgermux/decide/DefaultDispatchPolicy.java
+++ b/src/main/java/badgermux/decide/DefaultDispatchPolicy.java
@@ -28,7 +28,10 @@
  * reasons are in docs/design.md.
  */
 public final class DefaultDispatchPolicy implements DispatchPolicy {
-    /** Backends in a group: comparing two groups keeps the load small and constant (paper, section 4). */
+    /**
+     * Backends in a group: comparing two groups keeps the load small and constant (Kenthapadi and Panigrahy,
+     * "Balanced Allocation on Graphs", section 4).
+     */
     private static final int GROUP_SIZE = 3;
     /** Loads that differ by less than this always count as equal, as load reports are no more precise. */
     private static final double MIN_TIE_SLOTS = 0.5;
--- a/src/main/java/badgermux/front/Frontend.java
+++ b/src/main/java/badgermux/front/Frontend.java
@@ -475,7 +475,7 @@
     }
 
     /** Whether connections close after their answer, so that clients send their next request to another process. */
-    boolean isWindingDown() {
+    boolean closesAfterAnswer() {
         return isDraining || isHandedOver;
     }
 
--- a/src/main/java/badgermux/front/FrontendConnection.java
+++ b/src/main/java/badgermux/front/FrontendConnection.java
@@ -453,7 +453,7 @@
     private void sendResponse(int status, String reason, String headers, byte[] content) {
         finishRequest();
         // A queued request is answered before the connection closes.
-        keepAlive &= !frontend.isWindingDown() || queuedRequest != null;
+        keepAlive &= !frontend.closesAfterAnswer() || queuedRequest != null;
         if (isClosed) {
             return;
         }
