--- a/src/test/java/badgermux/it/Await.java
+++ b/src/test/java/badgermux/it/Await.java
@@ -2,36 +2,41 @@
 
 import java.util.concurrent.TimeUnit;
 
-/** Waiting with an end: what never comes fails its test, and does not hang it. */
+/** Waits for conditions with a timeout, so that a condition that is never met fails its test instead of hanging it. */
 final class Await {
-    /** What is waited for. */
+    /** A condition to wait for; an exception fails the wait at once. */
     interface Condition {
         boolean isMet() throws Exception;
     }
 
     private Await() { }
 
-    /** Looks again and again until it holds. */
-    static void until(String what, Condition condition) {
+    /**
+     * Polls a condition until it is met.
+     *
+     * @param description names the condition in the message of the {@link AssertionError} that is thrown after
+     *                    {@link FakeServer#TIMEOUT_SECONDS}
+     */
+    static void until(String description, Condition condition) {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakeServer.TIMEOUT_SECONDS);
         try {
             while (!condition.isMet()) {
                 if (System.nanoTime() > end) {
-                    throw new AssertionError("not in time: " + what);
+                    throw new AssertionError("timed out waiting for: " + description);
                 }
                 TimeUnit.MILLISECONDS.sleep(2);
             }
         } catch (Exception e) {
-            throw new AssertionError("while waiting for: " + what, e);
+            throw new AssertionError("failed while waiting for: " + description, e);
         }
     }
 
-    /** The next request that any of these get. */
-    static FakeServer.Exchange nextExchange(FakeServer... peers) {
+    /** Waits for a request at any of the servers and takes it from its queue. */
+    static FakeServer.Exchange nextExchange(FakeServer... servers) {
         FakeServer.Exchange[] next = new FakeServer.Exchange[1];
         until("a request", () -> {
-            for (FakeServer peer : peers) {
-                next[0] = next[0] == null ? peer.poll() : next[0];
+            for (FakeServer server : servers) {
+                next[0] = next[0] == null ? server.poll() : next[0];
             }
             return next[0] != null;
         });
--- a/src/test/java/badgermux/it/Client.java
+++ b/src/test/java/badgermux/it/Client.java
@@ -5,17 +5,18 @@
 import java.io.InputStream;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
+import java.util.concurrent.atomic.AtomicInteger;
 
-/** A client of the program, on one connection. */
+/** An HTTP client on one connection, which also sends text that is no valid HTTP. */
 final class Client implements Closeable {
-    /** An answer. */
+    /** A response. */
     record Response(int status, String head, String body) {
         String header(String name) {
             return Client.header(head, name);
         }
     }
 
-    private static final java.util.concurrent.atomic.AtomicInteger REQUEST_COUNTER = new java.util.concurrent.atomic.AtomicInteger();
+    private static final AtomicInteger REQUEST_COUNTER = new AtomicInteger();
     private final Socket socket;
 
     Client(int port) throws IOException {
@@ -24,13 +25,17 @@
         socket.setSoTimeout(FakeServer.TIMEOUT_SECONDS * 1000);
     }
 
-    /** A request's text; its id is new. */
+    /**
+     * Returns the text of a POST request with a new request id.
+     *
+     * @param moreHeaders whole lines, each with its CRLF; may be empty
+     */
     static String request(String path, String timeout, String moreHeaders, String body) {
         return "POST " + path + " HTTP/1.1\r\nHost: app.svc\r\nX-Request-ID: " + nextRequestId() + "\r\nX-Timeout: " + timeout
             + "\r\n" + moreHeaders + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    /** A new id, as clients form them. */
+    /** Returns a new request id: 16 hexadecimal digits. */
     static String nextRequestId() {
         return String.format("%016x", 0x9b1f03aa5c7e0000L + REQUEST_COUNTER.incrementAndGet());
     }
@@ -40,20 +45,22 @@
         return this;
     }
 
+    /** Reads one response; throws an {@link AssertionError} if the connection is closed before its head is complete. */
     Response read() throws IOException {
         String head = readHead(socket.getInputStream());
         if (head == null) {
-            throw new AssertionError("closed without an answer");
+            throw new AssertionError("connection closed without a response");
         }
         byte[] body = socket.getInputStream().readNBytes(Integer.parseInt(header(head, "Content-Length")));
         return new Response(Integer.parseInt(head.substring(9, 12)), head, new String(body, StandardCharsets.UTF_8));
     }
 
+    /** Posts a request with a timeout of 5 s and a short body, and reads the response. */
     Response post(String path) throws IOException {
         return send(request(path, "5000m", "", "b")).read();
     }
 
-    /** An admin call; {@code headers} are whole lines. */
+    /** Calls the admin API; {@code headers} are whole lines, each with its CRLF. */
     Response callAdmin(String method, String path, String headers, String body) throws IOException {
         byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
         socket.getOutputStream().write((method + ' ' + path + " HTTP/1.1\r\nHost: x\r\n" + headers + "Content-Length: "
@@ -66,31 +73,31 @@
         return send("GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n").read();
     }
 
-    /** Ends its sending, and goes on reading. */
+    /** Shuts down the sending side; reading goes on. */
     void halfClose() throws IOException {
         socket.shutdownOutput();
     }
 
-    /** Is gone at once, without an end in order. */
+    /** Closes the connection with a TCP reset. */
     void reset() throws IOException {
         socket.setSoLinger(true, 0);
         socket.close();
     }
 
-    /** Closes, and waits until the other side's system has the end: its socket waits for its own close then. */
+    /** Closes the connection and waits until the other side's kernel has received the FIN (its socket is in CLOSE_WAIT). */
     void closeAndAwaitFin() throws IOException {
-        int here = socket.getLocalPort();
-        int there = socket.getPort();
+        int localPort = socket.getLocalPort();
+        int remotePort = socket.getPort();
         socket.close();
-        Await.until("the end's arrival", () -> SocketTables.isInCloseWait(there, here));
+        Await.until("arrival of the FIN", () -> SocketTables.isInCloseWait(remotePort, localPort));
     }
 
-    /** How many bytes have come that nobody has read. */
+    /** Returns the number of bytes that have arrived and have not been read. */
     int unreadBytes() throws IOException {
         return socket.getInputStream().available();
     }
 
-    /** Whether the other side has closed, with nothing before. */
+    /** Waits for a byte or the end of the stream; returns whether the server closed the connection without sending more. */
     boolean isClosedByServer() throws IOException {
         return socket.getInputStream().read() < 0;
     }
@@ -99,11 +106,13 @@
         socket.close();
     }
 
+    /** Reads a message head up to its empty line; null at the end of the stream. */
     static String readHead(InputStream in) throws IOException {
         byte[] head = FakeServer.readHeadBytes(in);
         return head == null ? null : new String(head, StandardCharsets.ISO_8859_1);
     }
 
+    /** Returns the first value of a header of a message head, or null. */
     static String header(String head, String name) {
         return head.lines().filter(line -> line.toLowerCase().startsWith(name.toLowerCase() + ":"))
             .map(line -> line.substring(name.length() + 1).strip()).findFirst().orElse(null);
--- a/src/test/java/badgermux/it/FakeDiscovery.java
+++ b/src/test/java/badgermux/it/FakeDiscovery.java
@@ -15,39 +15,46 @@
 import java.util.regex.Pattern;
 
 /**
- * A discovery service that fails in a mode of the test's choice and then comes back. It keeps a ledger of the calls that it
- * got. What was called while it failed stays as it is when it comes back: nobody answers it.
+ * A discovery service that fails in a mode of the test's choice and later recovers. It records the calls that it receives.
+ * Calls that arrived while it failed get no answer after it has recovered.
  */
 final class FakeDiscovery implements Closeable {
-    /** How it fails. */
+    /** How it responds. */
     enum Mode {
-        /** It answers, and waits as long as it is asked to. */
+        /** Responds to each watch with news, or when the time of the watch is up. */
         NORMAL,
-        /** Nobody listens: connections are refused. */
+        /** Does not listen: connections are refused. */
         REFUSED,
-        /** New connections never come up; open ones are reset. */
+        /** New connections are never established; open ones are reset. */
         UNREACHABLE,
         /** Each call is reset. */
         RESET,
-        /** Each call is answered 503. */
+        /** Responds to each call with 503. */
         BUSY,
-        /** Calls are taken, and nothing is answered. */
+        /** Reads calls and does not respond. */
         SILENT,
-        /** Half an answer, and no more. */
+        /** Sends the first part of a response and nothing more. */
         PARTIAL,
-        /** An old answer that goes on coming, a byte at a time. */
+        /** Sends a response without news slowly, one byte at a time. */
         TRICKLE,
-        /** A list that is no JSON. */
+        /** Responds with text that is not valid JSON. */
         MALFORMED,
-        /** It has begun anew: the list it has is of an older revision. */
+        /** Responds with a list of an older revision, as a service that has lost its state. */
         OLDER_REVISION
     }
 
-    /** A call that it got. */
+    /**
+     * A call that it received.
+     *
+     * @param mode          its mode at that time
+     * @param sinceRevision the revision that the caller holds
+     * @param waitMillis    how long the caller asks it to wait for news
+     */
     record RecordedCall(long receivedNanos, Mode mode, long sinceRevision, long waitMillis) { }
 
     private static final Pattern WATCH_REQUEST = Pattern.compile("since=(\\d+)&timeout_ms=(\\d+) ");
     private static final int BACKLOG = 64;
+    /** More than a listening socket with a backlog of 1 takes. */
     private static final int MAX_BACKLOG_FILLERS = 8;
     private static final long BYTE_INTERVAL_MILLIS = 20;
 
@@ -55,7 +62,7 @@
     private final List<RecordedCall> recordedCalls = new ArrayList<>();
     private final List<Socket> openSockets = new ArrayList<>();
     private final List<Socket> backlogFillers = new ArrayList<>();
-    private ServerSocket server;
+    private ServerSocket serverSocket;
     private Mode mode = Mode.NORMAL;
     private long revision = 1;
     private String members = "";
@@ -66,18 +73,19 @@
 
     FakeDiscovery() throws IOException {
         listen(0, BACKLOG);
-        port = server.getLocalPort();
+        port = serverSocket.getLocalPort();
     }
 
+    /** Returns its address as HOST:PORT. */
     String address() {
         return "127.0.0.1:" + port;
     }
 
-    private synchronized void listen(int at, int backlog) throws IOException {
+    private synchronized void listen(int listenPort, int backlog) throws IOException {
         ServerSocket socket = new ServerSocket();
         socket.setReuseAddress(true);
-        socket.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), at), backlog);
-        server = socket;
+        socket.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), listenPort), backlog);
+        serverSocket = socket;
         if (mode != Mode.UNREACHABLE) {
             accept(socket);
         }
@@ -104,36 +112,36 @@
             try {
                 work.run();
             } catch (IOException | InterruptedException e) {
-                // the test has closed it, or the program has
+                // the test or the program has closed the connection
             }
         });
         thread.setDaemon(true);
         thread.start();
     }
 
-    /** Fails in this mode from here on; calls that wait for news get none any more. */
-    synchronized void failWith(Mode next) throws IOException {
-        boolean down = server.isClosed();
-        mode = next;
+    /** Begins to fail in a mode; watches that are waiting for news get no response any more. */
+    synchronized void failWith(Mode newMode) throws IOException {
+        boolean wasDown = serverSocket.isClosed();
+        mode = newMode;
         failureCount++;
         notifyAll();
-        if (next == Mode.REFUSED || next == Mode.UNREACHABLE) {
-            server.close();
+        if (newMode == Mode.REFUSED || newMode == Mode.UNREACHABLE) {
+            serverSocket.close();
             for (Socket socket : openSockets) {
                 socket.setSoLinger(true, 0);
                 socket.close();
             }
             openSockets.clear();
         }
-        if (next == Mode.UNREACHABLE) {
+        if (newMode == Mode.UNREACHABLE) {
             listen(port, 1);
             fillBacklog();
-        } else if (down && next != Mode.REFUSED) {
+        } else if (wasDown && newMode != Mode.REFUSED) {
             listen(port, BACKLOG);
         }
     }
 
-    /** So many connections that nobody accepts that no other comes up. */
+    /** Opens connections that are never accepted until the backlog is full and no further one is established. */
     private void fillBacklog() throws IOException {
         for (int i = 0; i < MAX_BACKLOG_FILLERS; i++) {
             Socket filler = new Socket();
@@ -141,72 +149,77 @@
             try {
                 filler.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 50);
             } catch (IOException e) {
-                return;     // it is full
+                return;     // the backlog is full
             }
         }
-        throw new IOException("connections still come up");
+        throw new IOException("connections are still established");
     }
 
-    /** Can be reached again, with this list; returns when, in nanoseconds. */
-    synchronized long recover(long newRevision, String newMembers, boolean whole) throws IOException {
+    /**
+     * Ends the failure and serves a list from now on.
+     *
+     * @return the time of the recovery, as of {@link System#nanoTime}
+     */
+    synchronized long recover(long newRevision, String newMembers, boolean isComplete) throws IOException {
         revision = newRevision;
         members = newMembers;
-        complete = whole;
-        Mode before = mode;
+        complete = isComplete;
+        Mode previousMode = mode;
         mode = Mode.NORMAL;
-        if (before == Mode.UNREACHABLE) {
-            server.close();
+        if (previousMode == Mode.UNREACHABLE) {
+            serverSocket.close();
             for (Socket filler : backlogFillers) {
                 filler.close();
             }
         }
-        if (before == Mode.REFUSED || before == Mode.UNREACHABLE) {
+        if (previousMode == Mode.REFUSED || previousMode == Mode.UNREACHABLE) {
             listen(port, BACKLOG);
         }
         notifyAll();
         return System.nanoTime();
     }
 
-    /** Has so many more calls answered 503 once it is well, each after so long: it has too many callers. */
-    synchronized void refuseCalls(int calls, long afterMillis) {
-        remainingRefusals = calls;
-        refusalDelayMillis = afterMillis;
+    /** Has the next calls in mode NORMAL answered 503, each after a delay, as an overloaded service does. */
+    synchronized void refuseCalls(int count, long delayMillis) {
+        remainingRefusals = count;
+        refusalDelayMillis = delayMillis;
     }
 
-    /** How many calls it got in a mode. */
-    synchronized long callCount(Mode in) {
-        return recordedCalls.stream().filter(entry -> entry.mode == in).count();
+    /** Returns the number of calls received in a mode. */
+    synchronized long callCount(Mode inMode) {
+        return recordedCalls.stream().filter(call -> call.mode == inMode).count();
     }
 
-    /** When the caller was first seen to hold a revision, in nanoseconds since a moment; waits for it. */
+    /** Waits for a call that holds a revision; returns the time from {@code sinceNanos}, as of {@link System#nanoTime}, to it. */
     synchronized long millisUntilRevision(long heldRevision, long sinceNanos) throws InterruptedException {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(2 * FakeServer.TIMEOUT_SECONDS);
         while (true) {
-            for (RecordedCall entry : recordedCalls) {
-                if (entry.receivedNanos >= sinceNanos && entry.sinceRevision == heldRevision) {
-                    return TimeUnit.NANOSECONDS.toMillis(entry.receivedNanos - sinceNanos);
+            for (RecordedCall call : recordedCalls) {
+                if (call.receivedNanos >= sinceNanos && call.sinceRevision == heldRevision) {
+                    return TimeUnit.NANOSECONDS.toMillis(call.receivedNanos - sinceNanos);
                 }
             }
-            long left = TimeUnit.NANOSECONDS.toMillis(end - System.nanoTime());
-            if (left <= 0) {
-                throw new AssertionError("it never held revision " + heldRevision + ": " + recordedCalls);
+            long leftMillis = TimeUnit.NANOSECONDS.toMillis(end - System.nanoTime());
+            if (leftMillis <= 0) {
+                throw new AssertionError("no call in time with revision " + heldRevision + ": " + recordedCalls);
             }
-            wait(left);
+            wait(leftMillis);
         }
     }
 
-    /** Waits until so many calls have come in a mode. */
-    synchronized void awaitCalls(Mode in, long count) throws InterruptedException {
+    /** Waits until it has received that many calls in a mode. */
+    synchronized void awaitCalls(Mode inMode, long count) throws InterruptedException {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(2 * FakeServer.TIMEOUT_SECONDS);
-        while (callCount(in) < count) {
-            long left = TimeUnit.NANOSECONDS.toMillis(end - System.nanoTime());
-            if (left <= 0) {
-                throw new AssertionError("not " + count + " calls in " + in + ": " + recordedCalls);
+        while (callCount(inMode) < count) {
+            long leftMillis = TimeUnit.NANOSECONDS.toMillis(end - System.nanoTime());
+            if (leftMillis <= 0) {
+                throw new AssertionError("fewer than " + count + " calls in mode " + inMode + ": " + recordedCalls);
             }
-            wait(left);
+            wait(leftMillis);
         }
     }
 
+    /** Returns the calls received up to now, in order. */
     synchronized List<RecordedCall> recordedCalls() {
         return List.copyOf(recordedCalls);
     }
@@ -214,12 +227,12 @@
     private void serve(Socket socket) throws IOException, InterruptedException {
         InputStream in = socket.getInputStream();
         for (String head = Client.readHead(in); head != null; head = Client.readHead(in)) {
-            Matcher call = WATCH_REQUEST.matcher(head);
-            if (!call.find()) {
-                throw new IOException("no watch: " + head);
+            Matcher request = WATCH_REQUEST.matcher(head);
+            if (!request.find()) {
+                throw new IOException("not a watch: " + head);
             }
-            Mode how = recordCall(Long.parseLong(call.group(1)), Long.parseLong(call.group(2)));
-            respond(socket, how, Long.parseLong(call.group(1)), Long.parseLong(call.group(2)));
+            Mode callMode = recordCall(Long.parseLong(request.group(1)), Long.parseLong(request.group(2)));
+            respond(socket, callMode, Long.parseLong(request.group(1)), Long.parseLong(request.group(2)));
         }
     }
 
@@ -229,8 +242,8 @@
         return mode;
     }
 
-    private void respond(Socket socket, Mode how, long since, long waitMillis) throws IOException, InterruptedException {
-        switch (how) {
+    private void respond(Socket socket, Mode callMode, long since, long waitMillis) throws IOException, InterruptedException {
+        switch (callMode) {
             case NORMAL -> write(socket, consumeRefusal() ? responseText("503 Busy", "") : awaitListResponse(since, waitMillis));
             case BUSY -> write(socket, responseText("503 Busy", ""));
             case MALFORMED -> write(socket, responseText("200 OK", "{\"revision\":"));
@@ -245,14 +258,16 @@
         }
     }
 
+    /** Whether this call is to be answered 503; if it is, counts it and waits for the delay. */
     private synchronized boolean consumeRefusal() throws InterruptedException {
         if (remainingRefusals == 0) {
             return false;
         }
         remainingRefusals--;
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(refusalDelayMillis);
-        for (long left = refusalDelayMillis; left > 0; left = TimeUnit.NANOSECONDS.toMillis(end - System.nanoTime())) {
-            wait(left);
+        for (long leftMillis = refusalDelayMillis; leftMillis > 0;
+                leftMillis = TimeUnit.NANOSECONDS.toMillis(end - System.nanoTime())) {
+            wait(leftMillis);
         }
         return true;
     }
@@ -270,19 +285,19 @@
         }
     }
 
-    /** What a watch is answered; null where it fails meanwhile: it stays with no answer. */
+    /** Waits for a newer list and returns the response to a watch; null, for no response, if a failure begins meanwhile. */
     private synchronized String awaitListResponse(long since, long waitMillis) throws InterruptedException {
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(waitMillis);
-        int before = failureCount;
-        for (long left = waitMillis; failureCount == before && revision <= since && left > 0;
-                left = TimeUnit.NANOSECONDS.toMillis(end - System.nanoTime())) {
-            wait(left);
+        int failuresBefore = failureCount;
+        for (long leftMillis = waitMillis; failureCount == failuresBefore && revision <= since && leftMillis > 0;
+                leftMillis = TimeUnit.NANOSECONDS.toMillis(end - System.nanoTime())) {
+            wait(leftMillis);
         }
-        if (failureCount != before) {
+        if (failureCount != failuresBefore) {
             return null;
         }
-        boolean news = revision > since;
-        return responseText("200 OK", listJson(revision, news && complete, news ? members : ""));
+        boolean isNewer = revision > since;
+        return responseText("200 OK", listJson(revision, isNewer && complete, isNewer ? members : ""));
     }
 
     private static String listJson(long revision, boolean complete, String members) {
@@ -294,7 +309,7 @@
     }
 
     @Override public synchronized void close() throws IOException {
-        server.close();
+        serverSocket.close();
         for (Socket socket : openSockets) {
             socket.close();
         }
--- a/src/test/java/badgermux/it/FakeServer.java
+++ b/src/test/java/badgermux/it/FakeServer.java
@@ -13,23 +13,27 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** A server that the test plays: requests queue up until the test takes and answers them. */
+/**
+ * An HTTP server whose responses the test writes: requests are queued until the test takes them and responds. It stands for a
+ * backend or for a discovery service.
+ */
 final class FakeServer implements Closeable {
+    /** How long tests wait for an event before they fail. */
     static final int TIMEOUT_SECONDS = 10;
 
-    /** A request, and the connection that it came on. */
+    /** A received request and the connection on which the test responds. */
     static final class Exchange {
         final String head;
         final String body;
-        /** Who got it. */
+        /** The server that received the request. */
         final FakeServer receiver;
         private final Socket socket;
         private final CountDownLatch ended;
 
-        Exchange(String head, String body, FakeServer from, Socket socket, CountDownLatch ended) {
+        Exchange(String head, String body, FakeServer receiver, Socket socket, CountDownLatch ended) {
             this.head = head;
             this.body = body;
-            this.receiver = from;
+            this.receiver = receiver;
             this.socket = socket;
             this.ended = ended;
         }
@@ -38,41 +42,51 @@
             return Client.header(head, name);
         }
 
+        /** Sends text as it is. */
         Exchange send(String text) throws IOException {
             socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
             return this;
         }
 
+        /** Sends a whole response with a Content-Length. */
         void reply(String statusAndHeaders, String content) throws IOException {
             send("HTTP/1.1 " + statusAndHeaders + "\r\nContent-Length: "
                 + content.getBytes(StandardCharsets.UTF_8).length + "\r\n\r\n" + content);
         }
 
-        /** Begins an answer in chunks, with its first line. */
+        /** Sends the head of a chunked response and its first line, with the state {@code started}. */
         Exchange sendStarted() throws IOException {
             return send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").sendLine("started", "");
         }
 
+        /**
+         * Sends one JSON line as a chunk.
+         *
+         * @param more further members of its object, each after a comma; may be empty
+         */
         Exchange sendLine(String state, String more) throws IOException {
             String line = "{\"id\":\"" + header("X-Request-ID") + "\",\"from\":\"s\",\"state\":\"" + state + "\"" + more
                 + "}\n";
             return send(Integer.toHexString(line.getBytes(StandardCharsets.UTF_8).length) + "\r\n" + line + "\r\n");
         }
 
+        /** Sends the last chunk. */
         void endResponse() throws IOException {
             send("0\r\n\r\n");
         }
 
+        /** Sends a whole chunked response that ends with this result. */
         void sendResult(String result) throws IOException {
             sendStarted().sendLine("done", ",\"result\":\"" + result + "\"").endResponse();
         }
 
+        /** Closes the connection with a TCP reset. */
         void reset() throws IOException {
             socket.setSoLinger(true, 0);
             socket.close();
         }
 
-        /** Whether the other side ends the connection. */
+        /** Waits for the other side to close the connection; returns whether it did within the timeout. */
         boolean isClosedByClient() throws InterruptedException {
             return ended.await(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         }
@@ -85,7 +99,7 @@
         this(0);
     }
 
-    /** On a port of the test's choice; 0 for any. */
+    /** Listens on the given port; 0 for any free one. */
     FakeServer(int port) throws IOException {
         server = new ServerSocket(port, 50, InetAddress.getLoopbackAddress());
         startDaemon(() -> {
@@ -105,7 +119,7 @@
             try {
                 work.run();
             } catch (IOException e) {
-                // the test has closed it, or the program has
+                // the test or the program has closed the connection
             }
         });
         thread.setDaemon(true);
@@ -126,24 +140,26 @@
         }
     }
 
+    /** Returns the port that it listens on. */
     int port() {
         return server.getLocalPort();
     }
 
+    /** Returns its address as HOST:PORT. */
     String address() {
         return "127.0.0.1:" + server.getLocalPort();
     }
 
-    /** The next request. */
+    /** Waits for the next request and takes it from the queue. */
     Exchange take() throws InterruptedException {
         Exchange call = exchanges.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         if (call == null) {
-            throw new AssertionError("no request came");
+            throw new AssertionError("no request received in time");
         }
         return call;
     }
 
-    /** Gives this result to all who come, until a while passes in which nobody does. */
+    /** Responds to each request with this result; throws an {@link AssertionError} once none arrives within the timeout. */
     void answerAll(String result) throws IOException {
         try {
             while (true) {
@@ -154,12 +170,12 @@
         }
     }
 
-    /** How many requests have come that no test has taken. */
+    /** Returns the number of requests in the queue. */
     int queuedCount() {
         return exchanges.size();
     }
 
-    /** A request that is there already, or null. */
+    /** Takes a request from the queue without waiting; null if it is empty. */
     Exchange poll() {
         return exchanges.poll();
     }
@@ -168,7 +184,7 @@
         server.close();
     }
 
-    /** Gathers bytes up to an empty line; null at the end of input. */
+    /** Reads up to and including an empty line; null if the stream ends before it. */
     static byte[] readHeadBytes(InputStream in) throws IOException {
         ByteArrayOutputStream head = new ByteArrayOutputStream();
         for (int b = in.read(); b >= 0; b = in.read()) {
--- a/src/test/java/badgermux/it/InProcessDispatcher.java
+++ b/src/test/java/badgermux/it/InProcessDispatcher.java
@@ -1,10 +1,10 @@
 package badgermux.it;
 
 import badgermux.backend.HttpBackendClient;
-import badgermux.core.ResponseListener;
 import badgermux.core.Clock;
 import badgermux.core.Deadlines;
 import badgermux.core.Engine;
+import badgermux.core.ResponseListener;
 import badgermux.decide.DispatchPolicy;
 import badgermux.front.Frontend;
 import badgermux.http.ForwardedRequest;
@@ -22,16 +22,17 @@
 import java.util.function.Supplier;
 
 /**
- * The parts around the module in this process, on real sockets and an event loop that a test can hold: what peers do
- * meanwhile lies in the system's buffers, so that each order of events can be had every time.
+ * The dispatcher around the policy in the test's own process, on real sockets and an event loop that a test can block. What
+ * clients and servers send meanwhile stays in the kernel's buffers, which makes the order of events reproducible. The policy
+ * does what the test sets and records its events.
  */
 final class InProcessDispatcher implements Closeable {
-    /** What is done on the event loop, while it does nothing else. */
+    /** A task on the event loop. */
     interface EventLoopTask {
         void run() throws Exception;
     }
 
-    /** How many clients are served at once. */
+    /** Limit of client connections that are served at once. */
     static final int MAX_CLIENTS = 20;
 
     final MultiThreadIoEventLoopGroup eventLoop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -41,112 +42,114 @@
     final Engine<ForwardedRequest> engine = new Engine<>(this::nowMicros, deadlines, metrics, 3);
     final HttpBackendClient backendClient;
     final Frontend frontend;
-    /** What the module was told, in order. */
+    /** The events given to the policy, in order; accessed on the event loop. */
     final List<String> policyEvents = new ArrayList<>();
     private final BlockingQueue<Long> requestIds = new LinkedBlockingQueue<>();
     private final int port;
     private long stoppedAtMicros;
     private DispatchPolicy.Request lastRequest;
-    /** Where the module sends each job at once; 0 where it holds them. */
+    /** The backend to which the policy sends each request at once; 0 to hold the requests. */
     long sendToBackendId;
-    /** Where it sends a job again that may go again; null where it does not. Called as soon as it is told. */
+    /** Supplies the backend for the retry of a rejected attempt, called in the event itself; null to retry nothing. */
     Supplier<Long> retryBackendId;
-    /** When it was told that a job is to end with this process. */
+    /** The times at which the policy was asked for a final answer before the process exits. */
     final List<Long> exitAnswerTimesMicros = new ArrayList<>();
-    /** Whether it refuses such a job; else the engine has to fail it. */
+    /** Whether the policy refuses the request then; otherwise the engine has to fail it. */
     boolean refusesBeforeExit = true;
-    /** Called on the event loop behind each job that the module is told of. */
+    /** Called on the event loop after each request that the policy receives. */
     Runnable onRequestReceived = () -> { };
 
     InProcessDispatcher() throws Exception {
         DispatchPolicy.Settings settings = new DispatchPolicy.Settings();
-        settings.classes.add(new DispatchPolicy.RequestClass("preview", DispatchPolicy.Effect.REPEATABLE, DispatchPolicy.DedupScope.ALL, 4_000_000, 1,
-            5_000_000, 0, 1, 0, -1, false));
-        backendClient = new HttpBackendClient(eventLoop, deadlines, this::nowMicros, metrics, engine, 3_000_000, 15_000_000, 100, false);
+        settings.classes.add(new DispatchPolicy.RequestClass("preview", DispatchPolicy.Effect.REPEATABLE,
+            DispatchPolicy.DedupScope.ALL, 4_000_000, 1, 5_000_000, 0, 1, 0, -1, false));
+        backendClient = new HttpBackendClient(eventLoop, deadlines, this::nowMicros, metrics, engine, 3_000_000, 15_000_000, 100,
+            false);
         frontend = new Frontend(this::nowMicros, deadlines, metrics, engine, settings, () -> true, MAX_CLIENTS, 8, 1 << 24, null);
         engine.connect(new ScriptedPolicy(), backendClient, () -> policyEvents.add("watch"));
-        port = ((InetSocketAddress) frontend.listen(eventLoop, new InetSocketAddress("127.0.0.1", 0)).sync().channel().localAddress())
-            .getPort();
+        port = ((InetSocketAddress) frontend.listen(eventLoop, new InetSocketAddress("127.0.0.1", 0)).sync().channel()
+            .localAddress()).getPort();
     }
 
-    private void scheduleDeadlines(long at) {
-        eventLoop.schedule(deadlines::runDue, Math.max(0, at - nowMicros()), TimeUnit.MICROSECONDS);
+    private void scheduleDeadlines(long timeMicros) {
+        eventLoop.schedule(deadlines::runDue, Math.max(0, timeMicros - nowMicros()), TimeUnit.MICROSECONDS);
     }
 
-    /** The time of all parts, in microseconds. */
+    /** Returns the time that all components use. */
     long nowMicros() {
         return stoppedAtMicros > 0 ? stoppedAtMicros : clock.nowMicros();
     }
 
-    /** Stops the clock, so that nothing falls due, or has it go on; called on the event loop. */
-    void setClockStopped(boolean stops) {
-        stoppedAtMicros = stops ? clock.nowMicros() : 0;
+    /** Stops the clock, which keeps deadlines from expiring, or lets it run again; called on the event loop. */
+    void setClockStopped(boolean stopped) {
+        stoppedAtMicros = stopped ? clock.nowMicros() : 0;
     }
 
+    /** Connects as a client. */
     Client client() throws IOException {
         return new Client(port);
     }
 
-    /** The next job that the module was told of. */
+    /** Waits for the next request that the policy receives and returns its id. */
     long awaitRequest() throws InterruptedException {
-        Long job = requestIds.poll(FakeServer.TIMEOUT_SECONDS, TimeUnit.SECONDS);
-        if (job == null) {
-            throw new AssertionError("no job came");
+        Long id = requestIds.poll(FakeServer.TIMEOUT_SECONDS, TimeUnit.SECONDS);
+        if (id == null) {
+            throw new AssertionError("no request received in time");
         }
-        return job;
+        return id;
     }
 
-    /** What the client of the last job had left when the module was told of it, in microseconds; called on the event loop. */
+    /** Returns the time that the last request had left when the policy received it; called on the event loop. */
     long lastRemainingMicros() {
         return lastRequest.remainingMicros();
     }
 
-    /** Whether one is there already that nobody has taken. */
+    /** Whether the policy has received a request that {@link #awaitRequest} has not returned. */
     boolean hasRequest() {
         return !requestIds.isEmpty();
     }
 
-    /** Takes a job in that no client brought; called on the event loop. */
+    /** Submits a request without a client connection and returns its id; called on the event loop. */
     long submitWithoutClient() {
-        ResponseListener nobody = new ResponseListener() {
+        ResponseListener noListener = new ResponseListener() {
             @Override public void onServed(byte[] result) { }
 
-            @Override public void onRefused(long comeBack) { }
+            @Override public void onRefused(long retryAfter) { }
 
-            @Override public void onFailed(boolean late) { }
+            @Override public void onFailed(boolean timedOut) { }
         };
         String head = "POST /preview HTTP/1.1";
         String id = Client.nextRequestId();
-        return engine.submit(nobody, new ForwardedRequest(id, head, "X-Request-ID: " + id + "\r\n", new byte[0], null), 0, 0, 1,
-            clock.nowMicros() + 5_000_000, true);
+        return engine.submit(noListener, new ForwardedRequest(id, head, "X-Request-ID: " + id + "\r\n", new byte[0], null), 0, 0,
+            1, clock.nowMicros() + 5_000_000, true);
     }
 
-    /** How many connections to runners there are. */
+    /** Returns the number of open connections to backends. */
     long backendConnections() throws Exception {
         return readGauge("backend_connections_open");
     }
 
-    /** The same, told on the event loop. */
+    /** The same, called on the event loop. */
     long backendConnectionsOnEventLoop() {
         return gaugeValue("backend_connections_open");
     }
 
-    /** A count, by now. */
-    long counterValue(Metrics.Count of) throws Exception {
-        long[] count = new long[1];
-        runOnEventLoop(() -> count[0] = metrics.get(of));
-        return count[0];
+    /** Returns the value of a counter, read on the event loop. */
+    long counterValue(Metrics.Count counter) throws Exception {
+        long[] value = new long[1];
+        runOnEventLoop(() -> value[0] = metrics.get(counter));
+        return value[0];
     }
 
-    /** How many connections of clients there are. */
+    /** Returns the number of open connections of clients. */
     long clientConnections() throws Exception {
         return readGauge("client_connections_open");
     }
 
     private long readGauge(String name) throws Exception {
-        long[] level = new long[1];
-        runOnEventLoop(() -> level[0] = gaugeValue(name));
-        return level[0];
+        long[] value = new long[1];
+        runOnEventLoop(() -> value[0] = gaugeValue(name));
+        return value[0];
     }
 
     private long gaugeValue(String name) {
@@ -154,29 +157,30 @@
             .mapToLong(line -> Long.parseLong(line.substring(line.indexOf(' ') + 1))).findFirst().orElseThrow();
     }
 
-    boolean hasPolicyEvent(String what) throws Exception {
-        boolean[] is = new boolean[1];
-        runOnEventLoop(() -> is[0] = policyEvents.contains(what));
-        return is[0];
+    /** Whether the policy has been given this event. */
+    boolean hasPolicyEvent(String event) throws Exception {
+        boolean[] contained = new boolean[1];
+        runOnEventLoop(() -> contained[0] = policyEvents.contains(event));
+        return contained[0];
     }
 
-    /** Does it on the event loop, and waits until it is done. */
-    void runOnEventLoop(EventLoopTask what) throws Exception {
+    /** Runs a task on the event loop, which does nothing else meanwhile, and waits until it is done. */
+    void runOnEventLoop(EventLoopTask task) throws Exception {
         eventLoop.submit(() -> {
-            what.run();
+            task.run();
             return null;
         }).get();
     }
 
-    /** Does it so many tasks later, in the same round of the event loop; called on it. */
-    void runAfterTasks(int count, EventLoopTask what) {
+    /** Runs a task that many tasks later in the same iteration of the event loop; called on it. */
+    void runAfterTasks(int count, EventLoopTask task) {
         eventLoop.next().execute(() -> {
             if (count > 1) {
-                runAfterTasks(count - 1, what);
+                runAfterTasks(count - 1, task);
                 return;
             }
             try {
-                what.run();
+                task.run();
             } catch (Exception e) {
                 throw new IllegalStateException(e);
             }
@@ -187,36 +191,36 @@
         eventLoop.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
-    /** Does what the test says. */
+    /** Does what the fields of this dispatcher say, and records its events. */
     private final class ScriptedPolicy implements DispatchPolicy {
         @Override public LearnedState exportLearnedState() {
             return new LearnedState(new double[0], List.of());
         }
 
-        @Override public void importLearnedState(LearnedState left) { }
+        @Override public void importLearnedState(LearnedState state) { }
 
-        @Override public void answerBeforeExit(long time, long job) {
+        @Override public void answerBeforeExit(long time, long id) {
             policyEvents.add("ending");
             exitAnswerTimesMicros.add(nowMicros());
             if (refusesBeforeExit) {
-                engine.refuse(job, 0);
+                engine.refuse(id, 0);
             }
         }
 
-        @Override public boolean isAvoided(long worker) {
+        @Override public boolean isAvoided(long backend) {
             return false;
         }
 
-        @Override public void backendsListed(long time, ListUpdate update, List<Backend> workers) {
-            policyEvents.add(update + " " + workers.size());
+        @Override public void backendsListed(long time, ListUpdate update, List<Backend> list) {
+            policyEvents.add(update + " " + list.size());
         }
 
-        @Override public void requestReceived(long time, Request job) {
-            lastRequest = job;
+        @Override public void requestReceived(long time, Request request) {
+            lastRequest = request;
             if (sendToBackendId != 0) {
-                engine.send(job.id(), sendToBackendId);
+                engine.send(request.id(), sendToBackendId);
             }
-            requestIds.add(job.id());
+            requestIds.add(request.id());
             onRequestReceived.run();
         }
 
@@ -226,7 +230,7 @@
 
         @Override public void responseStreaming(long time, long id, int attempt) { }
 
-        @Override public void attemptEnded(long time, long id, int attempt, long worker, Outcome outcome, boolean settled,
+        @Override public void attemptEnded(long time, long id, int attempt, long backend, Outcome outcome, boolean settled,
                 LoadReport report) {
             policyEvents.add(outcome + (settled ? " settled" : ""));
             if (!settled && outcome == Outcome.MOOT) {
@@ -236,7 +240,7 @@
             }
         }
 
-        @Override public void probeEnded(long time, long worker, boolean answered, LoadReport report) { }
+        @Override public void probeEnded(long time, long backend, boolean answered, LoadReport report) { }
 
         @Override public void clientDisconnected(long time, long id) {
             policyEvents.add("gone");
--- a/src/test/java/badgermux/it/Program.java
+++ b/src/test/java/badgermux/it/Program.java
@@ -1,6 +1,7 @@
 package badgermux.it;
 
 import java.io.BufferedReader;
+import java.io.ByteArrayInputStream;
 import java.io.Closeable;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -15,10 +16,11 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** The real program as a process, started as it is in service, and discovery that tells it of backends. */
+/** The built program as a process, started by the run command of the deployment, and the discovery service that it calls. */
 final class Program implements Closeable {
     private static final Pattern RUN_COMMAND = Pattern.compile("^run = \"(.*)\"$", Pattern.MULTILINE);
     private static final Pattern LISTEN_PORT = Pattern.compile("listens on .*:(\\d+)$");
+    /** Settings for two zones, one kind and three request classes, without probes and load reports. */
     static final String SETTINGS = "{\"Zone\":0,\"FailureDomains\":[\"east\",\"west\"],\"Kinds\":[\"k\"],"
         + "\"Discovery\":\"on_request\",\"Report\":{\"How\":\"silent\",\"Columns\":[]},\"Customers\":[],"
         + "\"Ceilings\":{\"MaxAttempts\":3,\"Cancel\":true,\"RetryAfter\":true,\"MaxRetryAfterMs\":2000,"
@@ -30,46 +32,59 @@
 
     final FakeServer discovery = new FakeServer();
     final Process process;
-    private final BufferedReader readLogLine;
-    private final Path writeConfig;
-    /** What it logged before it listened. */
+    private final BufferedReader log;
+    private final Path configFile;
+    /** The log lines read by {@link #awaitPort} and {@link #awaitFullLog}. */
     private final List<String> logLines = new ArrayList<>();
     private int port;
     private int adminPort;
     private int consolePort;
 
-    /** Starts it in a folder; {@code members} are the backends that it knows from before. */
+    /**
+     * Starts the program and waits until it listens.
+     *
+     * @param folder  gets the configuration file
+     * @param members the backends of the configuration, as JSON
+     */
     Program(Path folder, String members) throws IOException {
         this(folder, members, 1024, SETTINGS);
     }
 
+    /** The same with a limit of descriptors and with settings. */
     Program(Path folder, String members, int sockets, String settings) throws IOException {
         this(writeConfig(folder, members, sockets, 96, settings));
         awaitPort();
     }
 
-    /** Starts it with an address for operators' calls; {@code folder} is its $TMPDIR, too, which may have been used before. */
+    /**
+     * Starts the program with a console and waits until it listens.
+     *
+     * @param folder  gets the configuration file, and is the TMPDIR, which an earlier process may have used
+     * @param members the backends of the configuration, as JSON
+     */
     static Program startWithConsole(Path folder, String members, int sockets, String settings) throws IOException {
         return startWithConsole(runCommand(), folder, members, sockets, settings);
     }
 
-    static Program startWithConsole(String command, Path folder, String members, int sockets, String settings) throws IOException {
+    /** The same with a shell command. */
+    static Program startWithConsole(String command, Path folder, String members, int sockets, String settings)
+            throws IOException {
         Program program = new Program(command, writeConfig(folder, members, sockets, 192, settings),
             Map.of("GW_ADMIN", "127.0.0.1:0", "TMPDIR", folder.toString()));
         program.awaitPort();
         return program;
     }
 
-    /** Starts it with operators' calls and a discovery service of the test's own; {@code command} is that of the shell. */
-    static Program startWithDiscovery(String discovery, String command, Path folder, String members, int sockets, String settings)
-            throws IOException {
+    /** The same with a shell command and another discovery service, {@code HOST:PORT}. */
+    static Program startWithDiscovery(String discovery, String command, Path folder, String members, int sockets,
+            String settings) throws IOException {
         Program program = new Program(command, writeConfig(folder, members, sockets, 192, settings),
             Map.of("GW_ADMIN", "127.0.0.1:0", "TMPDIR", folder.toString(), "GW_DISCOVERY", discovery));
         program.awaitPort();
         return program;
     }
 
-    /** Starts it with a folder as its $TMPDIR, which may have been used before. */
+    /** Starts the program with a TMPDIR that an earlier process may have used, and waits until it listens. */
     static Program startInFolder(Path folder, String members, String settings) throws IOException {
         Program program = new Program(runCommand(), writeConfig(folder, members, 1024, 192, settings),
             Map.of("TMPDIR", folder.toString()));
@@ -77,15 +92,16 @@
         return program;
     }
 
+    /** The same with {@link #SETTINGS}. */
     static Program startWithConsole(Path folder, String members, int sockets) throws IOException {
         return startWithConsole(folder, members, sockets, SETTINGS);
     }
 
     /**
-     * Starts it where a process before it listened, and does not wait until it listens.
+     * Starts the program on a given port, such as that of an earlier process, and does not wait until it listens.
      *
-     * @param discovery where it finds discovery, {@code host:port}; its own {@link #discovery} gets no calls
-     * @param tmp       its $TMPDIR, which may have been used before
+     * @param discovery the address of discovery, {@code HOST:PORT}; {@link #discovery} gets no calls
+     * @param tmp       the TMPDIR, which an earlier process may have used
      */
     static Program startOnPort(Path config, int port, String discovery, Path tmp) throws IOException {
         Program program = new Program(runCommand(), config, Map.of("GW_LISTEN", "127.0.0.1:" + port,
@@ -94,23 +110,23 @@
         return program;
     }
 
-    /** Where clients connect. */
+    /** Returns the port that clients connect to. */
     int port() {
         return port;
     }
 
-    /** Ends it as an outage does, by SIGKILL, and waits for its end. */
+    /** Kills the process by SIGKILL and waits until it has exited. */
     void kill() throws InterruptedException {
         process.destroyForcibly().waitFor();
     }
 
-    /** Starts it with an admin API, whose options follow {@code serve}. */
+    /** Starts the program with an admin API and further command-line options, and waits until it listens. */
     Program(Path folder, String members, String options) throws IOException {
         this(runCommand() + " --admin 127.0.0.1:0 " + options, writeConfig(folder, members, 1024, 192, SETTINGS));
         awaitPort();
     }
 
-    /** A configuration in a folder; {@code members} are the backends that it knows from before. */
+    /** Writes the configuration file; {@code members} are its backends, as JSON. */
     static Path writeConfig(Path folder, String members, int sockets, int memoryMb, String settings) throws IOException {
         return Files.writeString(folder.resolve("config.json"), "{\"name\":\"n\",\"seed\":\"1f\",\"limits\":{\"sockets\":"
             + sockets + ",\"memory_mb\":" + memoryMb + "},\"known\":{\"revision\":1,\"complete\":true,\"members\":[" + members
@@ -118,7 +134,7 @@
     }
 
     private void awaitPort() throws IOException {
-        for (String line = readLogLine.readLine(); line != null; line = readLogLine.readLine()) {
+        for (String line = log.readLine(); line != null; line = log.readLine()) {
             logLines.add(line);
             Matcher matcher = LISTEN_PORT.matcher(line);
             if (line.contains("operators call on")) {
@@ -132,74 +148,78 @@
         }
     }
 
-    /** An operator's connection. */
+    /** Connects to the admin API. */
     Client adminClient() throws IOException {
         return new Client(adminPort);
     }
 
-    /** Starts it on a configuration that may be faulty. */
+    /** Starts the program on a configuration that may be invalid; does not wait until it listens. */
     Program(Path config) throws IOException {
         this(runCommand(), config);
     }
 
-    /** The command that starts it in service. */
+    /** Returns the shell command that starts this build, from deploy/balancer.toml. */
     static String runCommand() throws IOException {
         Matcher run = RUN_COMMAND.matcher(Files.readString(Path.of("deploy", "balancer.toml")));
         if (!run.find()) {
-            throw new IOException("deploy/balancer.toml has no run");
+            throw new IOException("no key \"run\" in deploy/balancer.toml");
         }
         return run.group(1);
     }
 
+    /** Starts the program by a shell command; does not wait until it listens. */
     Program(String command, Path config) throws IOException {
         this(command, config, Map.of());
     }
 
-    private Program(String command, Path config, Map<String, String> more) throws IOException {
+    private Program(String command, Path config, Map<String, String> environment) throws IOException {
         ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", command);
         builder.environment().put("GW_LISTEN", "127.0.0.1:0");
         builder.environment().put("GW_DISCOVERY", discovery.address());
         builder.environment().put("GW_CONFIG", config.toString());
-        // What one test's process has learnt is nothing to the next one's.
+        // Without this, the program would go on from the learned state of another test's process.
         builder.environment().remove("TMPDIR");
-        builder.environment().putAll(more);
-        this.writeConfig = config;
+        builder.environment().putAll(environment);
+        configFile = config;
         process = builder.start();
-        readLogLine = process.errorReader(StandardCharsets.UTF_8);
+        log = process.errorReader(StandardCharsets.UTF_8);
     }
 
-    /** Replaces text of the configuration and has it reread. */
-    void reload(String old, String by) throws IOException, InterruptedException {
-        Files.writeString(writeConfig, Files.readString(writeConfig).replace(old, by));
+    /** Replaces text of the configuration file and sends SIGHUP. */
+    void reload(String oldText, String newText) throws IOException, InterruptedException {
+        Files.writeString(configFile, Files.readString(configFile).replace(oldText, newText));
         sendSighup();
     }
 
+    /** Sends SIGHUP, on which the program rereads its configuration. */
     void sendSighup() throws IOException, InterruptedException {
         new ProcessBuilder("kill", "-HUP", String.valueOf(process.pid())).start().waitFor();
     }
 
-    /** A backend as discovery's list shows it. */
-    static String member(String id, FakeServer at, String zone, String phase) {
-        return "{\"id\":\"" + id + "\",\"host_port\":\"" + at.address() + "\",\"locality\":\"" + zone
+    /** Returns an entry of the backend list, as JSON. */
+    static String member(String id, FakeServer server, String zone, String phase) {
+        return "{\"id\":\"" + id + "\",\"host_port\":\"" + server.address() + "\",\"locality\":\"" + zone
             + "\",\"flavor\":\"k\",\"cell\":0,\"phase\":\"" + phase + "\",\"size\":1.0,\"up_since_ms\":0}";
     }
 
-    /** An operator's connection that has said nothing yet. */
+    /** Connects to the console without sending a command. */
     Socket consoleSocket() throws IOException {
         Socket socket = new Socket("127.0.0.1", consolePort);
         socket.setSoTimeout(FakeServer.TIMEOUT_SECONDS * 1000);
         return socket;
     }
 
+    /** Sends a command to the console and returns the reply. */
     String callConsole(String line) throws IOException {
         return callConsole(consolePort, line);
     }
 
+    /** Returns a value of the DUMP, named without the prefix {@code svc.}. */
     long dumpValue(String name) throws IOException {
         return dumpValue(callConsole("DUMP"), name);
     }
 
-    /** A call's answer, which ends with its connection. */
+    /** Sends a command to the console on a port and returns the reply, which ends with the connection. */
     static String callConsole(int port, String line) throws IOException {
         try (Socket socket = new Socket("127.0.0.1", port)) {
             socket.setSoTimeout(FakeServer.TIMEOUT_SECONDS * 1000);
@@ -208,46 +228,48 @@
         }
     }
 
-    /** A figure of a dump. */
+    /** Returns a value of a DUMP, named without the prefix {@code svc.}. */
     static long dumpValue(String dump, String name) {
         return dump.lines().filter(line -> line.startsWith("svc." + name + ':'))
             .mapToLong(line -> Long.parseLong(line.replaceAll(".*:|\\|.*", ""))).findFirst().orElseThrow();
     }
 
+    /** Connects as a client. */
     Client client() throws IOException {
         return new Client(port);
     }
 
+    /** Waits for the next line of the log; null at its end. */
     String readLogLine() throws IOException {
-        return readLogLine.readLine();
+        return log.readLine();
     }
 
-    /** Reads on what it logs: a thousand lines are more than a pipe holds, and who writes to a full one waits. */
+    /** Reads and discards the log, since the program would block on a full pipe, which holds fewer than a thousand lines. */
     void discardLog() {
-        Thread reader = new Thread(() -> readLogLine.lines().forEach(line -> { }));
+        Thread reader = new Thread(() -> log.lines().forEach(line -> { }));
         reader.setDaemon(true);
         reader.start();
     }
 
-    /** All that it logged, from its start to its end. */
+    /** Waits until the process closes its log and returns its lines, except those that {@link #readLogLine} returned. */
     List<String> awaitFullLog() throws IOException {
-        for (String line = readLogLine.readLine(); line != null; line = readLogLine.readLine()) {
+        for (String line = log.readLine(); line != null; line = log.readLine()) {
             logLines.add(line);
         }
         return logLines;
     }
 
-    /** Waits for its end and returns what it printed. */
+    /** Waits until the process exits and returns its standard output. */
     String awaitOutput() throws IOException, InterruptedException {
         String text = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         process.waitFor(FakeServer.TIMEOUT_SECONDS, TimeUnit.SECONDS);
         return text;
     }
 
-    /** A counter's value. */
+    /** Returns the value of a counter of {@code GET /metrics}, named without the prefix {@code badgermux_}. */
     long counterValue(String name) throws IOException {
         try (Client client = client(); BufferedReader lines = new BufferedReader(new InputStreamReader(
-            new java.io.ByteArrayInputStream(client.get("/metrics").body().getBytes(StandardCharsets.UTF_8)),
+            new ByteArrayInputStream(client.get("/metrics").body().getBytes(StandardCharsets.UTF_8)),
             StandardCharsets.UTF_8))) {
             return lines.lines().filter(line -> line.startsWith("badgermux_" + name + ' '))
                 .mapToLong(line -> Long.parseLong(line.substring(line.indexOf(' ') + 1))).findFirst().orElseThrow();
--- a/src/test/java/badgermux/it/Supervisor.java
+++ b/src/test/java/badgermux/it/Supervisor.java
@@ -9,48 +9,55 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The platform of an upgrade: holds the clients' listening socket, which each process started here inherits. */
+/**
+ * Stands in for the process supervisor of a hot restart: a helper process holds the clients' listening socket, and each
+ * instance of the program started here inherits it.
+ */
 final class Supervisor implements Closeable {
-    /** One process of the dispatcher. */
+    /** One process of the program. */
     final class Instance {
         final ProcessHandle process;
-        private final Path log;
+        /** The path of the log files without their suffixes .err and .out. */
+        private final Path logPrefix;
         private int consolePort;
 
-        Instance(ProcessHandle process, Path log) {
+        Instance(ProcessHandle process, Path logPrefix) {
             this.process = process;
-            this.log = log;
+            this.logPrefix = logPrefix;
         }
 
-        /** Waits until its log has a line with this text. */
+        /** Waits until its log contains this text. */
         Instance awaitLog(String text) {
             Await.until(text, () -> log().contains(text));
             return this;
         }
 
-        /** Waits for its yes. */
+        /** Waits until HEALTH reports that it is ready. */
         Instance awaitReady() {
-            Await.until("its yes", this::isReady);
+            Await.until("readiness", this::isReady);
             return this;
         }
 
+        /** Returns what it has logged to standard error. */
         String log() throws IOException {
-            return Files.readString(log.resolveSibling(log.getFileName() + ".err"));
+            return Files.readString(logPrefix.resolveSibling(logPrefix.getFileName() + ".err"));
         }
 
+        /** Returns what it has printed to standard output. */
         String output() throws IOException {
-            return Files.readString(log.resolveSibling(log.getFileName() + ".out"));
+            return Files.readString(logPrefix.resolveSibling(logPrefix.getFileName() + ".out"));
         }
 
+        /** Sends a command to its console and returns the reply. */
         String callConsole(String line) throws IOException {
             if (consolePort == 0) {
-                String told = awaitLog("operators call on ").log();
-                consolePort = Integer.parseInt(told.replaceAll("(?s).*operators call on [^:]*:(\\d+)\n.*", "$1"));
+                String logText = awaitLog("operators call on ").log();
+                consolePort = Integer.parseInt(logText.replaceAll("(?s).*operators call on [^:]*:(\\d+)\n.*", "$1"));
             }
             return Program.callConsole(consolePort, line);
         }
 
-        /** Whether it says that it is ready; no while nobody answers there. */
+        /** Whether HEALTH reports that it is ready; false if the console does not answer. */
         boolean isReady() {
             try {
                 return callConsole("HEALTH").startsWith("200");
@@ -59,27 +66,36 @@
             }
         }
 
+        /** Returns a value of its DUMP, named without the prefix {@code svc.}. */
         long dumpValue(String name) throws IOException {
             return Program.dumpValue(callConsole("DUMP"), name);
         }
 
+        /** Sends a signal, named without SIG. */
         void signal(String name) throws IOException, InterruptedException {
             new ProcessBuilder("kill", "-" + name, String.valueOf(process.pid())).start().waitFor();
         }
 
-        /** Waits for its end. */
+        /** Waits until the process has exited. */
         void awaitExit() {
-            Await.until("its end", () -> !process.isAlive());
+            Await.until("exit", () -> !process.isAlive());
         }
     }
 
     final FakeServer discovery = new FakeServer();
+    /** The port of the clients' listening socket. */
     final int port;
     private final Path folder;
     private final Process process;
     private final BufferedReader replies;
     private final List<Instance> instances = new ArrayList<>();
 
+    /**
+     * Starts the helper process and writes the configuration of the instances.
+     *
+     * @param folder  their TMPDIR, which also gets the configuration and the log files
+     * @param members the backends of the configuration, as JSON
+     */
     Supervisor(Path folder, String members, int sockets, String settings) throws IOException {
         this.folder = folder;
         Program.writeConfig(folder, members, sockets, 192, settings);
@@ -88,25 +104,26 @@
         port = Integer.parseInt(replies.readLine());
     }
 
-    /** Starts a process as the platform does in an upgrade. */
+    /** Starts an instance with the run command of this build. */
     Instance start() throws IOException {
-        Path log = folder.resolve("run" + instances.size());
+        Path logPrefix = folder.resolve("run" + instances.size());
         Files.createFile(folder.resolve("run" + instances.size() + ".err"));
-        String line = String.join("\t", log.toString(), Program.runCommand(), "GW_CONFIG=" + folder.resolve("config.json"),
+        String line = String.join("\t", logPrefix.toString(), Program.runCommand(), "GW_CONFIG=" + folder.resolve("config.json"),
             "TMPDIR=" + folder, "GW_LISTEN=127.0.0.1:" + port, "GW_DISCOVERY=" + discovery.address(),
             "GW_ADMIN=127.0.0.1:0", "GW_SOCKET_FD=0");
         process.getOutputStream().write((line + "\n").getBytes(StandardCharsets.UTF_8));
         process.getOutputStream().flush();
-        instances.add(new Instance(ProcessHandle.of(Long.parseLong(replies.readLine())).orElseThrow(), log));
+        instances.add(new Instance(ProcessHandle.of(Long.parseLong(replies.readLine())).orElseThrow(), logPrefix));
         return instances.get(instances.size() - 1);
     }
 
+    /** Connects as a client. */
     Client client() throws IOException {
         return new Client(port);
     }
 
     @Override public void close() throws IOException {
-        instances.forEach(run -> run.process.destroyForcibly());
+        instances.forEach(instance -> instance.process.destroyForcibly());
         process.destroy();
         discovery.close();
     }
--- a/src/test/resources/hold.pl
+++ b/src/test/resources/hold.pl
@@ -1,5 +1,6 @@
-# Stands in for the platform: holds a listening socket and starts programs that inherit it as descriptor 0.
-# It prints its port; each line it reads is "log<TAB>command<TAB>NAME=value..." and answered by the process id.
+# Stands in for a process supervisor: holds a listening socket and starts programs that inherit it as descriptor 0.
+# Prints the socket's port first. For each input line "LOG<TAB>COMMAND<TAB>NAME=value..." it starts the shell command with
+# these environment variables and its output in LOG.out and LOG.err, and prints the process id.
 use strict;
 use Socket;
 use POSIX ();
