--- a/src/test/java/badgermux/it/DescriptorLimitIT.java
+++ b/src/test/java/badgermux/it/DescriptorLimitIT.java
@@ -20,20 +20,25 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The real program whose descriptors are bounded by the system itself, while a crowd takes every one that it can get. */
+/** The built program under the system's limit of file descriptors, while many connections take every descriptor they can get. */
 @Timeout(90)
 class DescriptorLimitIT {
-    /** The least that a deployment may give; the system's limit is the same. */
+    /** The least number that a configuration may allow; the system's limit is the same. */
     private static final int DESCRIPTORS = 128;
+    /** How long it may take until discovery is called with the new revision. */
     private static final long MAX_RECOVERY_MILLIS = 6_000;
-    /** Far more than there are places of any kind. */
-    private static final int IDLE_CLIENTS = 150, IDLE_CONSOLE_CONNECTIONS = 8, CLIENTS_WITH_REQUESTS = 40;
-    /** Fewer than the shares of {@link #DESCRIPTORS} need. */
+    /** Far more than the limit of client connections. */
+    private static final int IDLE_CLIENTS = 150;
+    /** Far more than the limit of console connections. */
+    private static final int IDLE_CONSOLE_CONNECTIONS = 8;
+    /** Far more than the limit of backend connections. */
+    private static final int CLIENTS_WITH_REQUESTS = 40;
+    /** Fewer than the descriptor budget of {@link #DESCRIPTORS} uses. */
     private static final int INSUFFICIENT_DESCRIPTORS = 100;
     private static final int CONSOLE_CALLS = 20;
-    /** What the backend that joins gives as its result. */
+    /** The result that the added backend responds with. */
     private static final String JOINED_RESULT = "joined";
-    /** Failures of calls to discovery by which the crowd holds what it can get. */
+    /** Failed calls to discovery after which the connections are taken to hold all descriptors that they can get. */
     private static final int MIN_DISCOVERY_FAILURES = 5;
 
     @TempDir private Path folder;
@@ -50,25 +55,25 @@
         discovery = new FakeDiscovery();
     }
 
-    /** Starts it with so many descriptors by the system; the configuration tells it of {@link #DESCRIPTORS}. */
+    /** Starts the program with this limit by the system; its configuration says {@link #DESCRIPTORS}. */
     private void startProgram(int descriptors) throws IOException {
-        program = Program.startWithDiscovery(discovery.address(), "ulimit -n " + descriptors + " && " + Program.runCommand(), folder,
-            member("s-1", drainedBackend, "east", "SERVING"), DESCRIPTORS, Program.SETTINGS);
+        program = Program.startWithDiscovery(discovery.address(), "ulimit -n " + descriptors + " && " + Program.runCommand(),
+            folder, member("s-1", drainedBackend, "east", "SERVING"), DESCRIPTORS, Program.SETTINGS);
         Thread reader = new Thread(() -> {
             try {
                 for (String line = program.readLogLine(); line != null; line = program.readLogLine()) {
                     logLines.add(line);
                 }
             } catch (IOException e) {
-                // it has ended
+                // the program has exited
             }
         });
         reader.setDaemon(true);
         reader.start();
     }
 
-    private void startRepeating(int size, RepeatingThreads.Action member) {
-        repeatingThreads.add(new RepeatingThreads(size, member));
+    private void startRepeating(int count, RepeatingThreads.Action action) {
+        repeatingThreads.add(new RepeatingThreads(count, action));
     }
 
     @AfterEach void tearDown() throws IOException {
@@ -79,7 +84,7 @@
         joinedBackend.close();
     }
 
-    /** Many who do the same over and over, each on a thread of its own. */
+    /** Threads that repeat one action until they are closed. */
     private static final class RepeatingThreads {
         interface Action {
             void perform() throws IOException;
@@ -87,20 +92,20 @@
 
         private volatile boolean isClosed;
 
-        RepeatingThreads(int size, Action member) {
-            for (int i = 0; i < size; i++) {
-                Thread thread = new Thread(() -> repeat(member));
+        RepeatingThreads(int count, Action action) {
+            for (int i = 0; i < count; i++) {
+                Thread thread = new Thread(() -> repeat(action));
                 thread.setDaemon(true);
                 thread.start();
             }
         }
 
-        private void repeat(Action member) {
+        private void repeat(Action action) {
             while (!isClosed) {
                 try {
-                    member.perform();
+                    action.perform();
                 } catch (IOException | AssertionError e) {
-                    // it was turned away, and comes again
+                    // refused or evicted: the next try follows
                 }
             }
         }
@@ -122,17 +127,17 @@
         }
     }
 
-    /** Whether a client, who may be turned away for want of a place, gets the result of the backend that has joined. */
+    /** Whether a client gets the result of the added backend; false if it is refused for lack of descriptors. */
     private boolean isServedByJoinedBackend() {
         try (Client client = program.client()) {
-            Client.Response answer = client.send(Client.request("/preview", "5000m", "", "")).read();
-            return answer.status() == 200 && answer.body().equals(JOINED_RESULT);
+            Client.Response response = client.send(Client.request("/preview", "5000m", "", "")).read();
+            return response.status() == 200 && response.body().equals(JOINED_RESULT);
         } catch (IOException | AssertionError e) {
-            return false;   // it was shut unread
+            return false;   // the connection was closed without a response
         }
     }
 
-    /** Idle clients, callers with half a call, and clients with requests that nobody answers: all places of each kind. */
+    /** Keeps opening idle clients, idle console connections, and clients whose requests get no response. */
     private void fillAllConnectionLimits() throws IOException {
         startRepeating(IDLE_CLIENTS, () -> {
             try (Client client = program.client()) {
@@ -140,8 +145,8 @@
             }
         });
         startRepeating(IDLE_CONSOLE_CONNECTIONS, () -> {
-            try (Socket caller = program.consoleSocket()) {
-                caller.getInputStream().read();
+            try (Socket console = program.consoleSocket()) {
+                console.getInputStream().read();
             }
         });
         startRepeating(CLIENTS_WITH_REQUESTS, () -> {
@@ -151,48 +156,50 @@
         });
     }
 
-    /** Discovery fails and the crowd takes its places. */
+    /** Makes discovery fail and connections take all descriptors they can get. */
     private void fillConnectionLimitsWhileDiscoveryFails() throws IOException, InterruptedException {
         discovery.awaitCalls(Mode.NORMAL, 1);
         discovery.failWith(Mode.RESET);
         fillAllConnectionLimits();
-        Await.until("requests at backends", () -> drainedBackend.queuedCount() >= CLIENTS_WITH_REQUESTS / 2);
+        Await.until("requests at the draining backend", () -> drainedBackend.queuedCount() >= CLIENTS_WITH_REQUESTS / 2);
         discovery.awaitCalls(Mode.RESET, MIN_DISCOVERY_FAILURES);
     }
 
-    /** It returns with a change, and that is in force. */
+    /** Ends the failure with a changed list, and checks that the program takes it over in time. */
     private void assertDiscoveryRecovers() throws IOException, InterruptedException {
         startRepeating(1, () -> joinedBackend.answerAll(JOINED_RESULT));
-        long since = discovery.recover(2, member("s-1", drainedBackend, "east", "DRAINING") + ','
+        long recoveredNanos = discovery.recover(2, member("s-1", drainedBackend, "east", "DRAINING") + ','
             + member("s-2", joinedBackend, "east", "SERVING"), false);
-        long millis = discovery.millisUntilRevision(2, since);
-        System.err.println(millis + " ms: with a crowd in every place");
+        long millis = discovery.millisUntilRevision(2, recoveredNanos);
+        System.err.println(millis + " ms until discovery is called with the new revision, at full connection limits");
         assertTrue(millis < MAX_RECOVERY_MILLIS, millis + " ms");
-        Await.until("a request served by the backend that has joined", this::isServedByJoinedBackend);
+        Await.until("a request served by the added backend", this::isServedByJoinedBackend);
     }
 
     @Test void recoversDiscoveryAndAnswersConsoleAtFullConnectionLimits() throws Exception {
         startProgram(DESCRIPTORS);
         fillConnectionLimitsWhileDiscoveryFails();
         assertDiscoveryRecovers();
-        long sentBefore = drainedBackend.queuedCount();
+        long receivedBefore = drainedBackend.queuedCount();
         for (int i = 0; i < CONSOLE_CALLS; i++) {
             assertEquals(2, Program.dumpValue(program.callConsole("DUMP"), "cluster_size"));
-            assertTrue(openDescriptorCount() < DESCRIPTORS, "one is over");
+            assertTrue(openDescriptorCount() < DESCRIPTORS, "one descriptor stays free");
         }
-        assertEquals(sentBefore, drainedBackend.queuedCount(), "it drains");
-        assertFalse(isLogged("Too many open files"), "one is over");
+        assertEquals(receivedBefore, drainedBackend.queuedCount(), "a draining backend gets no request");
+        assertFalse(isLogged("Too many open files"), "one descriptor stays free");
     }
 
-    /** The system allows fewer than the configuration says, so that the crowd takes the last one, too: no failed call. */
+    /** The system allows fewer than the configuration says, and the last one is taken: that is not a failed call. */
     @Test void recoversDiscoveryWithoutFreeDescriptors() throws Exception {
         startProgram(INSUFFICIENT_DESCRIPTORS);
         fillConnectionLimitsWhileDiscoveryFails();
-        Await.until("no descriptor for a call", () -> isLogged("No file descriptor available for the discovery request"));
+        Await.until("a discovery request without a free descriptor",
+            () -> isLogged("No file descriptor available for the discovery request"));
         assertDiscoveryRecovers();
-        Await.until("an operator's answer", () -> program.callConsole("DUMP").contains("cluster_size"));
+        Await.until("a reply of the console", () -> program.callConsole("DUMP").contains("cluster_size"));
         repeatingThreads.forEach(RepeatingThreads::close);
-        Await.until("a place", this::isServedByJoinedBackend);
-        assertEquals(discovery.callCount(Mode.RESET), program.counterValue("director_failures"), "want of a descriptor is no failure");
+        Await.until("a served client", this::isServedByJoinedBackend);
+        assertEquals(discovery.callCount(Mode.RESET), program.counterValue("director_failures"),
+            "lack of a descriptor is not a failed call");
     }
 }
--- a/src/test/java/badgermux/it/HotRestartIT.java
+++ b/src/test/java/badgermux/it/HotRestartIT.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** One process of the real program hands over to the next, on a socket that is held for both. */
+/** Hot restart of the built program: one process hands over to the next on a listening socket that both inherit. */
 @Timeout(60)
 class HotRestartIT {
     @TempDir private Path folder;
@@ -37,8 +37,8 @@
     @BeforeEach void setUp() throws IOException {
         firstBackend = new FakeServer();
         secondBackend = new FakeServer();
-        supervisor = new Supervisor(folder, member("s-1", firstBackend, "east", "SERVING") + "," + member("s-2", secondBackend, "east", "SERVING"),
-            256, Program.SETTINGS);
+        supervisor = new Supervisor(folder, member("s-1", firstBackend, "east", "SERVING") + ","
+            + member("s-2", secondBackend, "east", "SERVING"), 256, Program.SETTINGS);
     }
 
     @AfterEach void tearDown() throws IOException, InterruptedException {
@@ -55,39 +55,42 @@
         void run() throws IOException, InterruptedException;
     }
 
-    private void startThread(IoTask work) {
+    private void startThread(IoTask task) {
         Thread thread = new Thread(() -> {
             try {
-                work.run();
+                task.run();
             } catch (IOException | InterruptedException | AssertionError e) {
-                // told by what the test counts
+                // the test fails by its counts
             }
         });
         threads.add(thread);
         thread.start();
     }
 
-    /** Backends that serve whatever comes, after a moment. */
-    private void startServing(FakeServer peer, int millis) {
+    /** Responds to each request at a backend after a delay, until the test ends. */
+    private void startServing(FakeServer backend, int delayMillis) {
         startThread(() -> {
             while (!isStopped.get()) {
-                FakeServer.Exchange call = peer.poll();
-                if (call == null) {
+                FakeServer.Exchange exchange = backend.poll();
+                if (exchange == null) {
                     TimeUnit.MILLISECONDS.sleep(1);
                 } else {
-                    TimeUnit.MILLISECONDS.sleep(millis);
+                    TimeUnit.MILLISECONDS.sleep(delayMillis);
                     executedCount.incrementAndGet();
-                    call.sendResult("r");
+                    exchange.sendResult("r");
                 }
             }
         });
     }
 
-    /** Steady load on connections that are kept: how many requests were sent, and how many of them were answered 200. */
+    /** Sends requests one after another on persistent connections and counts them. */
     private final class LoadGenerator {
         final AtomicInteger sent = new AtomicInteger();
+        /** Requests answered 200. */
         final AtomicInteger served = new AtomicInteger();
+        /** Requests sent while the program was closing their connection; each is sent again. */
         final AtomicInteger crossedCloses = new AtomicInteger();
+        /** Requests that got no response when sent again. */
         final AtomicInteger failed = new AtomicInteger();
         final AtomicBoolean isEnded = new AtomicBoolean();
 
@@ -97,7 +100,8 @@
                     Client client = supervisor.client();
                     while (!isEnded.get()) {
                         sent.incrementAndGet();
-                        String request = Client.request("/publish", "5000m", "Idempotency-Key: " + Client.nextRequestId() + "\r\n", "");
+                        String request = Client.request("/publish", "5000m",
+                            "Idempotency-Key: " + Client.nextRequestId() + "\r\n", "");
                         client = sendWithRetry(client, request);
                     }
                     client.close();
@@ -105,73 +109,81 @@
             }
         }
 
-        /** As the protocol has it: a close that crosses a request, on a connection that was used before, is no answer. */
-        private Client sendWithRetry(Client on, String request) throws IOException {
-            Client client = on;
-            for (boolean again = true; ; again = false) {
+        /**
+         * Sends a request, once more on a new connection if the connection was closed instead of an answer: as the protocol
+         * allows, a close may cross a request on a connection that was used before. Returns the connection for the next request.
+         */
+        private Client sendWithRetry(Client connection, String request) throws IOException {
+            Client client = connection;
+            for (boolean isFirst = true; ; isFirst = false) {
                 try {
-                    Client.Response answer = client.send(request).read();
-                    served.addAndGet(answer.status() == 200 ? 1 : 0);
-                    if ("close".equals(answer.header("Connection"))) {
+                    Client.Response response = client.send(request).read();
+                    served.addAndGet(response.status() == 200 ? 1 : 0);
+                    if ("close".equals(response.header("Connection"))) {
                         client.close();
                         client = supervisor.client();
                     }
                     return client;
                 } catch (IOException | AssertionError e) {
-                    (again ? crossedCloses : failed).incrementAndGet();
+                    (isFirst ? crossedCloses : failed).incrementAndGet();
                     client.close();
                     client = supervisor.client();
-                    if (!again) {
+                    if (!isFirst) {
                         return client;
                     }
                 }
             }
         }
 
-        /** Waits until so many more are served. */
+        /** Waits until that many more requests have been answered 200. */
         void awaitMoreServed(int more) {
-            int then = served.get();
-            Await.until("more served", () -> served.get() >= then + more);
+            int servedBefore = served.get();
+            Await.until("more served requests", () -> served.get() >= servedBefore + more);
         }
 
+        /** Stops sending and waits until no request is open. */
         void endAndAwaitResponses() {
             isEnded.set(true);
-            Await.until("all answered", () -> served.get() + failed.get() >= sent.get());
+            Await.until("responses to all requests", () -> served.get() + failed.get() >= sent.get());
         }
     }
 
     @Test void answersEachRequestOnceUnderLoad() throws IOException, InterruptedException {
         startServing(firstBackend, 3);
         startServing(secondBackend, 3);
-        Supervisor.Instance old = supervisor.start();
-        old.awaitReady();
+        Supervisor.Instance previous = supervisor.start();
+        previous.awaitReady();
         LoadGenerator load = new LoadGenerator(8);
         load.awaitMoreServed(50);
-        long before = System.nanoTime();
+        long startedNanos = System.nanoTime();
         Supervisor.Instance next = supervisor.start();
         next.awaitReady();
-        assertTrue(System.nanoTime() - before < 6_000_000_000L, "the yes is due within 6 s");
-        old.signal("TERM");
-        old.awaitExit();
+        assertTrue(System.nanoTime() - startedNanos < 6_000_000_000L, "readiness is due within 6 s");
+        previous.signal("TERM");
+        previous.awaitExit();
         load.awaitMoreServed(50);
         load.endAndAwaitResponses();
         assertEquals(0, load.failed.get());
         assertEquals(load.sent.get(), load.served.get());
-        assertTrue(load.crossedCloses.get() <= 2, "closes that crossed a req: " + load.crossedCloses);
-        assertEquals(load.served.get(), executedCount.get(), "each ran once");
-        long counted = Long.parseLong(old.output().replaceAll("(?s).*badgermux_answers_served (\\d+)\n.*", "$1"));
-        assertTrue(counted >= 50, "the old one's standard output lives to the end");
-        assertEquals(load.served.get(), counted + next.dumpValue("transactions.publish.answered"));
+        assertTrue(load.crossedCloses.get() <= 2, "closes that crossed a request: " + load.crossedCloses);
+        assertEquals(load.served.get(), executedCount.get(), "each request runs once");
+        long servedByPrevious = Long.parseLong(previous.output().replaceAll("(?s).*badgermux_answers_served (\\d+)\n.*", "$1"));
+        assertTrue(servedByPrevious >= 50, "the previous process prints its counters at its exit");
+        assertEquals(load.served.get(), servedByPrevious + next.dumpValue("transactions.publish.answered"));
     }
 
-    /** Whom it asks first does not answer: it has let nobody in, and its end found nothing that could end. */
+    /**
+     * SIGTERM arrives while the previous process does not answer the TAKEOVER. The new process has no listener and no
+     * connection yet, and its shutdown must not wait for one to close.
+     */
     @Test void exitsAtOnceWhenTerminatedDuringTakeover() throws IOException, InterruptedException {
-        try (ServerSocket before = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+        try (ServerSocket silentConsole = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             Files.createDirectories(folder.resolve("badgermux-n"));
-            Files.writeString(folder.resolve("badgermux-n").resolve("console"), "127.0.0.1:" + before.getLocalPort() + " secret\n");
+            Files.writeString(folder.resolve("badgermux-n").resolve("console"),
+                "127.0.0.1:" + silentConsole.getLocalPort() + " secret\n");
             Supervisor.Instance next = supervisor.start();
-            try (Socket asked = before.accept()) {
-                assertEquals('T', asked.getInputStream().read(), "TAKEOVER");
+            try (Socket link = silentConsole.accept()) {
+                assertEquals('T', link.getInputStream().read(), "TAKEOVER");
                 next.signal("TERM");
                 next.awaitExit();
                 assertFalse(next.log().contains("listens on"), next.log());
@@ -180,45 +192,45 @@
     }
 
     @Test void previousProcessAnswersItsRunningRequest() throws IOException, InterruptedException {
-        Supervisor.Instance old = supervisor.start();
-        old.awaitReady();
-        old.callConsole("OFFLINE s-2");
-        try (Client client = supervisor.client(); Client resting = supervisor.client()) {
-            resting.send(Client.request("/preview", "5000m", "", ""));
+        Supervisor.Instance previous = supervisor.start();
+        previous.awaitReady();
+        previous.callConsole("OFFLINE s-2");
+        try (Client client = supervisor.client(); Client idle = supervisor.client()) {
+            idle.send(Client.request("/preview", "5000m", "", ""));
             firstBackend.take().sendResult("r");
-            assertEquals(200, resting.read().status());
+            assertEquals(200, idle.read().status());
             client.send(Client.request("/pay", "5000m", "", ""));
-            FakeServer.Exchange call = firstBackend.take();
+            FakeServer.Exchange exchange = firstBackend.take();
             Supervisor.Instance next = supervisor.start();
-            assertTrue(resting.isClosedByServer(), "an idle client is sent to the next process");
-            assertTrue(next.callConsole("HEALTH").startsWith("400 serving, but"), "the old one has a job");
+            assertTrue(idle.isClosedByServer(), "the previous process closes idle connections");
+            assertTrue(next.callConsole("HEALTH").startsWith("400 serving, but"), "the previous process has an open request");
             try (Client other = supervisor.client()) {
                 other.send(Client.request("/preview", "5000m", "", ""));
                 firstBackend.take().sendResult("by the next");
                 assertEquals("by the next", other.read().body());
             }
-            call.sendResult("late");
-            Client.Response answer = client.read();
-            assertEquals("late", answer.body());
-            assertEquals("close", answer.header("Connection"));
+            exchange.sendResult("late");
+            Client.Response response = client.read();
+            assertEquals("late", response.body());
+            assertEquals("close", response.header("Connection"));
             next.awaitReady();
-            assertEquals(0, old.dumpValue("current"));
+            assertEquals(0, previous.dumpValue("current"));
         }
     }
 
     @Test void sharesCordonsBetweenBothProcesses() throws IOException, InterruptedException {
-        Supervisor.Instance old = supervisor.start();
-        old.awaitReady();
-        old.callConsole("OFFLINE s-1");
+        Supervisor.Instance previous = supervisor.start();
+        previous.awaitReady();
+        previous.callConsole("OFFLINE s-1");
         Supervisor.Instance next = supervisor.start();
         next.awaitReady();
         assertEquals(1, next.dumpValue("cluster_unhealthy"));
         assertEquals("200 out: s-2\n", next.callConsole("OFFLINE s-2"));
-        Await.until("it is out at both", () -> old.dumpValue("cluster_unhealthy") == 2);
-        assertEquals("200 back: s-1\n", old.callConsole("ONLINE s-1"));
-        Await.until("it is back at both", () -> next.dumpValue("cluster_unhealthy") == 1);
-        old.signal("TERM");
-        old.awaitExit();
+        Await.until("the cordon at both processes", () -> previous.dumpValue("cluster_unhealthy") == 2);
+        assertEquals("200 back: s-1\n", previous.callConsole("ONLINE s-1"));
+        Await.until("the end of the cordon at both processes", () -> next.dumpValue("cluster_unhealthy") == 1);
+        previous.signal("TERM");
+        previous.awaitExit();
         Supervisor.Instance third = supervisor.start();
         third.awaitReady();
         assertEquals(1, third.dumpValue("cluster_unhealthy"));
@@ -230,8 +242,8 @@
     @Test void previousProcessResumesWhenNextDiesOrHangs() throws IOException, InterruptedException {
         startServing(firstBackend, 1);
         startServing(secondBackend, 1);
-        Supervisor.Instance old = supervisor.start();
-        old.awaitReady();
+        Supervisor.Instance previous = supervisor.start();
+        previous.awaitReady();
         for (String signal : List.of("KILL", "STOP")) {
             Supervisor.Instance next = supervisor.start();
             next.awaitReady();
@@ -241,11 +253,11 @@
             }
             next.signal("KILL");
         }
-        assertTrue(old.log().contains("this one serves again"));
+        assertTrue(previous.log().contains("this one serves again"));
         Supervisor.Instance last = supervisor.start();
         last.awaitReady();
-        old.signal("KILL");
-        old.awaitExit();
+        previous.signal("KILL");
+        previous.awaitExit();
         try (Client client = supervisor.client()) {
             assertEquals(200, client.post("/preview").status());
         }
@@ -255,14 +267,14 @@
     @Test void failedStartLeavesPreviousProcessServing() throws IOException, InterruptedException {
         startServing(firstBackend, 1);
         startServing(secondBackend, 1);
-        Supervisor.Instance old = supervisor.start();
-        old.awaitReady();
-        Path config = folder.resolve("config.json");
-        String good = Files.readString(config);
-        Files.writeString(config, good.replace("RequestClasses", "Nothing"));
+        Supervisor.Instance previous = supervisor.start();
+        previous.awaitReady();
+        Path configFile = folder.resolve("config.json");
+        String validConfig = Files.readString(configFile);
+        Files.writeString(configFile, validConfig.replace("RequestClasses", "Nothing"));
         supervisor.start().awaitExit();
-        Files.writeString(config, good);
-        assertFalse(old.log().contains("handed over"));
+        Files.writeString(configFile, validConfig);
+        assertFalse(previous.log().contains("handed over"));
         try (Client client = supervisor.client()) {
             assertEquals(200, client.post("/preview").status());
         }
@@ -282,7 +294,7 @@
         second.signal("TERM");
         first.awaitExit();
         second.awaitExit();
-        assertTrue(second.log().contains("handed over"), "the second was asked by the third");
+        assertTrue(second.log().contains("handed over"), "the second process has handed over to the third");
         load.awaitMoreServed(20);
         load.endAndAwaitResponses();
         assertEquals(0, load.failed.get());
@@ -290,52 +302,52 @@
     }
 
     @Test void nextProcessServesClientsThatConnectedInBetween() throws IOException, InterruptedException {
-        Supervisor.Instance old = supervisor.start();
-        old.awaitReady();
-        old.signal("TERM");
-        old.awaitExit();
+        Supervisor.Instance previous = supervisor.start();
+        previous.awaitReady();
+        previous.signal("TERM");
+        previous.awaitExit();
         try (Client client = supervisor.client()) {
             client.send(Client.request("/preview", "5000m", "", ""));
             supervisor.start();
-            FakeServer.Exchange call = Await.nextExchange(firstBackend, secondBackend);
-            call.sendResult("by the next");
+            FakeServer.Exchange exchange = Await.nextExchange(firstBackend, secondBackend);
+            exchange.sendResult("by the next");
             assertEquals("by the next", client.read().body());
         }
     }
 
-    /** What the configuration knows is old: the list that the old process holds says that a backend drains. */
+    /** The list of the previous process says that a backend drains; the list of the configuration is older and does not. */
     @Test void nextProcessKeepsBackendsDraining() throws IOException, InterruptedException {
-        Supervisor.Instance old = supervisor.start();
-        old.awaitReady();
+        Supervisor.Instance previous = supervisor.start();
+        previous.awaitReady();
         supervisor.discovery.take().reply("200 OK", "{\"revision\":9,\"complete\":false,\"members\":["
             + member("s-1", firstBackend, "east", "DRAINING") + "]}");
-        Await.until("the list", () -> old.dumpValue("cluster_unhealthy") == 1);
+        Await.until("the draining backend", () -> previous.dumpValue("cluster_unhealthy") == 1);
         Supervisor.Instance next = supervisor.start();
         next.awaitReady();
         assertEquals(1, next.dumpValue("cluster_unhealthy"));
         try (Client client = supervisor.client()) {
             for (int i = 0; i < 10; i++) {
                 client.send(Client.request("/preview", "5000m", "", ""));
-                FakeServer.Exchange call = Await.nextExchange(firstBackend, secondBackend);
-                assertEquals(secondBackend, call.receiver);
-                call.sendResult("r");
+                FakeServer.Exchange exchange = Await.nextExchange(firstBackend, secondBackend);
+                assertEquals(secondBackend, exchange.receiver);
+                exchange.sendResult("r");
                 client.read();
             }
         }
     }
 
     @Test void rejectsInvalidSocketDescriptor() throws IOException, InterruptedException {
-        for (String number : List.of("3", "x", "0")) {
+        for (String descriptor : List.of("3", "x", "0")) {
             ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", Program.runCommand());
             builder.environment().put("GW_CONFIG", folder.resolve("config.json").toString());
             builder.environment().put("GW_LISTEN", "127.0.0.1:0");
             builder.environment().put("GW_DISCOVERY", supervisor.discovery.address());
-            builder.environment().put("GW_SOCKET_FD", number);
+            builder.environment().put("GW_SOCKET_FD", descriptor);
             Process process = builder.redirectInput(ProcessBuilder.Redirect.from(Path.of("/dev/null").toFile())).start();
             assertEquals(2, process.waitFor());
-            String told = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
-            assertTrue(told.startsWith("badgermux: GW_SOCKET_FD"), told);
-            assertEquals(1, told.lines().count());
+            String errorOutput = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
+            assertTrue(errorOutput.startsWith("badgermux: GW_SOCKET_FD"), errorOutput);
+            assertEquals(1, errorOutput.lines().count());
         }
     }
 }
--- a/src/test/java/badgermux/it/LearnedStateIT.java
+++ b/src/test/java/badgermux/it/LearnedStateIT.java
@@ -13,18 +13,24 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The real program started again: what was learnt goes on with the next process of the same folder. */
+/** Restarts of the built program: the next process in the same folder goes on from the learned state of the previous one. */
 @Timeout(60)
 class LearnedStateIT {
-    /** For so long nothing may go to a cold runner from a process that does not know what was sent there before. */
-    private static final String COLD_SETTINGS = "\"Safety\":{\"ColdMs\":60000,\"ColdShare\":0.5,\"FallMs\":20000,\"FallMultiple\":3},";
+    /**
+     * A warm-up of 60 s. A process that does not know what was sent to a cold backend before its own start may send nothing
+     * there for the 20 s of FallMs. Both are longer than a test takes.
+     */
+    static final String COLD_SETTINGS =
+        "\"Safety\":{\"ColdMs\":60000,\"ColdShare\":0.5,\"FallMs\":20000,\"FallMultiple\":3},";
 
     @TempDir private Path folder;
 
-    private static String settings() {
+    /** Returns the settings of {@link Program#SETTINGS} with a warm-up. */
+    static String settings() {
         return Program.SETTINGS.replace("\"Customers\"", COLD_SETTINGS + "\"Customers\"");
     }
 
+    /** Starts the program with one backend, which, if cold, has been up for 1 s. */
     private Program startProgram(FakeServer backend, boolean cold) throws IOException {
         String member = member("s-1", backend, "east", "SERVING");
         return Program.startInFolder(folder, cold ? member.replace("\"up_since_ms\":0", "\"up_since_ms\":"
@@ -39,7 +45,7 @@
         }
     }
 
-    /** A dispatcher once knew nothing after its start: no class's run, and so no cold runner had a job from it. */
+    /** Without the run times and recent sends of the previous process, a cold backend would get no request. */
     @Test void usesColdBackendAfterOrderlyRestart() throws IOException, InterruptedException {
         FakeServer backend = new FakeServer();
         try (Program first = startProgram(backend, false)) {
@@ -58,7 +64,7 @@
         try (Program first = startProgram(backend, false)) {
             serveOne(first, backend);
         }
-        // Killed, it has kept nothing, or what it had learnt but not what it sent.
+        // A killed process leaves no file, or one with statistics but without its recent sends.
         try (Program next = startProgram(backend, true); Client client = next.client()) {
             client.send(Client.request("/preview", "1000m", "", ""));
             assertEquals(503, client.read().status());
@@ -73,13 +79,13 @@
         assertServesUntilOrderlyExit("Failed to read the learned state of the previous process");
     }
 
-    /** A file stands where the folder would be made: not even root can write there. */
+    /** A file has the folder's name, which keeps even root from writing there. */
     @Test void toleratesUnwritableFolder() throws IOException, InterruptedException {
         Files.writeString(folder.resolve("badgermux-n"), "");
         assertServesUntilOrderlyExit("Failed to save the learned state");
     }
 
-    /** A pipe that nobody reads stands where it is written: the end waited for it until it was killed. */
+    /** The file is a pipe without a reader: writing it blocks and must not delay the exit until the process is killed. */
     @Test void exitsWhileWritingTheFileHangs() throws IOException, InterruptedException {
         Files.createDirectories(folder.resolve("badgermux-n"));
         Path fifo = folder.resolve("badgermux-n").resolve("learnt.new");
@@ -88,21 +94,22 @@
         try (Program program = startProgram(backend, false)) {
             serveOne(program, backend);
             program.process.toHandle().destroy();
-            assertTrue(program.process.waitFor(FakeServer.TIMEOUT_SECONDS, TimeUnit.SECONDS), "it ends by itself");
+            assertTrue(program.process.waitFor(FakeServer.TIMEOUT_SECONDS, TimeUnit.SECONDS), "it exits without a kill");
             assertTrue(program.awaitOutput().contains("badgermux_answers_served 1"));
         }
         Files.delete(fifo);
         backend.close();
     }
 
-    private void assertServesUntilOrderlyExit(String said) throws IOException, InterruptedException {
+    /** Serves a request, ends the program by SIGTERM, and checks its counters and that it has logged this text. */
+    private void assertServesUntilOrderlyExit(String logText) throws IOException, InterruptedException {
         FakeServer backend = new FakeServer();
         try (Program program = startProgram(backend, false)) {
             serveOne(program, backend);
             program.process.toHandle().destroy();
-            assertTrue(program.awaitOutput().contains("badgermux_answers_served 1"), "it has ended by itself");
-            boolean told = program.awaitFullLog().stream().anyMatch(line -> line.contains(said));
-            assertTrue(told, said);
+            assertTrue(program.awaitOutput().contains("badgermux_answers_served 1"), "it exits without a kill");
+            boolean isLogged = program.awaitFullLog().stream().anyMatch(line -> line.contains(logText));
+            assertTrue(isLogged, logText);
         }
         backend.close();
     }
--- a/src/test/java/badgermux/it/ReloadIT.java
+++ b/src/test/java/badgermux/it/ReloadIT.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** SIGHUP: the configuration is read again, and nothing taken is lost. */
+/** SIGHUP on the built program: it rereads the configuration and loses no request. */
 @Timeout(60)
 class ReloadIT {
     @TempDir private Path folder;
@@ -35,33 +35,35 @@
         backend.close();
     }
 
+    /** Writes the address of the new discovery service into the configuration and sends SIGHUP. */
     private void moveDiscovery() throws IOException, InterruptedException {
         program.reload("{\"name\":\"n\"", "{\"discovery\":\"" + newDiscovery.address() + "\",\"name\":\"n\"");
     }
 
+    /** Reads the log up to a line with this text. */
     private void awaitLog(String text) throws IOException {
         String line = program.readLogLine();
         while (line != null && !line.contains(text)) {
             line = program.readLogLine();
         }
-        assertTrue(line != null, "the log ends without " + text);
+        assertTrue(line != null, "end of the log without: " + text);
     }
 
     @Test void watchesNewDiscoveryAddressAndKeepsRequests() throws IOException, InterruptedException {
-        FakeServer.Exchange old = program.discovery.take();
+        FakeServer.Exchange oldWatch = program.discovery.take();
         client.send(Client.request("/preview", "5000m", "", ""));
         FakeServer.Exchange inFlight = backend.take().sendStarted();
         moveDiscovery();
-        FakeServer.Exchange watch = newDiscovery.take();
-        assertTrue(watch.head.startsWith("GET /v1/servers?since=1&timeout_ms="), watch.head);
-        assertEquals(newDiscovery.address(), watch.header("Host"));
-        assertTrue(old.isClosedByClient(), "the old call is dropped");
-        FakeServer other = new FakeServer();
-        watch.reply("200 OK", "{\"revision\":2,\"complete\":false,\"members\":["
-            + member("s-1", backend, "east", "DRAINING") + ',' + member("s-2", other, "east", "SERVING") + "]}");
+        FakeServer.Exchange newWatch = newDiscovery.take();
+        assertTrue(newWatch.head.startsWith("GET /v1/servers?since=1&timeout_ms="), newWatch.head);
+        assertEquals(newDiscovery.address(), newWatch.header("Host"));
+        assertTrue(oldWatch.isClosedByClient(), "the old watch is closed");
+        FakeServer addedBackend = new FakeServer();
+        newWatch.reply("200 OK", "{\"revision\":2,\"complete\":false,\"members\":["
+            + member("s-1", backend, "east", "DRAINING") + ',' + member("s-2", addedBackend, "east", "SERVING") + "]}");
         assertTrue(newDiscovery.take().head.startsWith("GET /v1/servers?since=2&"));
         try (Client second = program.client().send(Client.request("/preview", "5000m", "", ""))) {
-            other.take().sendResult("new");
+            addedBackend.take().sendResult("new");
             assertEquals("new", second.read().body());
         }
         inFlight.sendLine("done", ",\"result\":\"old\"").endResponse();
@@ -85,19 +87,19 @@
     @Test void answersAllWhenReloadsRepeatAndSigtermFollows() throws IOException, InterruptedException {
         program.discovery.take();
         client.send(Client.request("/preview", "5000m", "", ""));
-        FakeServer.Exchange call = backend.take().sendStarted();
+        FakeServer.Exchange exchange = backend.take().sendStarted();
         moveDiscovery();
-        FakeServer.Exchange watch = newDiscovery.take();
+        FakeServer.Exchange newWatch = newDiscovery.take();
         program.sendSighup();
         awaitLog("Configuration reloaded");
         awaitLog("Configuration reloaded");
-        assertEquals(1, program.counterValue("director_calls") - 1, "the same address again drops nothing");
+        assertEquals(1, program.counterValue("director_calls") - 1, "the same address again keeps the watch");
         program.process.toHandle().destroy();
         program.sendSighup();
         awaitLog("Configuration reloaded");
-        watch.reply("200 OK", "{\"revision\":2,\"complete\":false,\"members\":[]}");
+        newWatch.reply("200 OK", "{\"revision\":2,\"complete\":false,\"members\":[]}");
         newDiscovery.take();
-        call.sendLine("done", ",\"result\":\"r\"").endResponse();
+        exchange.sendLine("done", ",\"result\":\"r\"").endResponse();
         assertEquals("r", client.read().body());
         assertTrue(program.awaitOutput().contains("badgermux_reloads 3\n"));
         assertEquals(143, program.process.waitFor());
--- a/src/test/java/badgermux/it/RestartReadinessIT.java
+++ b/src/test/java/badgermux/it/RestartReadinessIT.java
@@ -10,6 +10,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Collectors;
@@ -21,14 +22,14 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The real program killed by SIGKILL and started again on the same address. The users' term: nine in ten restarted processes
- * are ready within 10 s, or within 6 s where the day ends sooner; here each restart has to be ready within the shorter time,
- * counted from the start of its command to a 200 from {@code GET /healthz}, and has to serve a request then.
+ * The built program killed by SIGKILL and started again on the same address. The requirement: nine in ten restarted processes
+ * are ready within 10 s, or within 6 s where the day ends sooner. Here each restart has to be ready within the shorter time,
+ * from the start of its command to a 200 from {@code GET /healthz}, and then has to serve a request.
  */
 @Timeout(90)
 class RestartReadinessIT {
     private static final long MAX_READY_MILLIS = 6_000;
-    /** More than the process lets in at once: a third of its 1,024 descriptors and 64 that it only turns away. */
+    /** More than the process accepts at once: a third of its 1,024 descriptors, and 64 connections that it only refuses. */
     private static final int CLIENT_COUNT = 500;
 
     @TempDir private Path folder;
@@ -45,7 +46,7 @@
         backend.close();
     }
 
-    /** An address at which nobody listens. */
+    /** Returns an address without a listener. */
     private static String unusedAddress() throws IOException {
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             return "127.0.0.1:" + socket.getLocalPort();
@@ -64,20 +65,20 @@
         try (Client client = program.client()) {
             return client.get("/healthz").status() == 200;
         } catch (IOException | AssertionError e) {
-            return false;   // nobody listens yet, or the connection had to make room for others
+            return false;   // it does not listen yet, or it has evicted this connection
         }
     }
 
-    /** Kills the first process, starts the next one, and judges when it is ready and that it serves. */
+    /** Kills the first process, starts the next one, and checks the time until it is ready and that it serves. */
     private Program restartAndAwaitReady(String members, String discovery) throws IOException, InterruptedException {
         first.kill();
         Path config = Program.writeConfig(folder, members, 1024, 192, Program.SETTINGS);
-        long started = System.nanoTime();
+        long startedNanos = System.nanoTime();
         Program next = Program.startOnPort(config, first.port(), discovery, folder);
         next.discardLog();
         try {
             Await.until("ready", () -> isReady(next));
-            long millis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - started);
+            long millis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedNanos);
             assertTrue(millis <= MAX_READY_MILLIS, "ready after " + millis + " ms");
             serveOne(next);
         } catch (IOException | InterruptedException | RuntimeException | Error e) {
@@ -96,7 +97,7 @@
         restartAndAwaitReady(knownMember(), unusedAddress()).close();
     }
 
-    /** Discovery takes the call and says nothing. */
+    /** Discovery accepts the call and does not respond. */
     @Test void becomesReadyWhileDiscoveryIsSilent() throws IOException, InterruptedException {
         try (FakeServer silent = new FakeServer()) {
             restartAndAwaitReady(knownMember(), silent.address()).close();
@@ -110,53 +111,53 @@
         restartAndAwaitReady(members, unusedAddress()).close();
     }
 
-    /** Clients connect from the first moment on at which they can, and leave half a request behind or say nothing. */
+    /** Clients connect as soon as they can; every other one sends half a request, and the rest send nothing. */
     @Test void becomesReadyWhileManyClientsConnect() throws IOException, InterruptedException {
-        List<Client> crowd = new ArrayList<>();
-        Thread comers = new Thread(() -> {
-            while (crowd.size() < CLIENT_COUNT && !Thread.currentThread().isInterrupted()) {
+        List<Client> clients = new ArrayList<>();
+        Thread connector = new Thread(() -> {
+            while (clients.size() < CLIENT_COUNT && !Thread.currentThread().isInterrupted()) {
                 try {
                     Client client = first.client();
-                    crowd.add(client);
-                    if (crowd.size() % 2 == 0) {
+                    clients.add(client);
+                    if (clients.size() % 2 == 0) {
                         client.send("POST /preview HTTP/1.1\r\nHost: x\r\nX-Req");
                     }
                 } catch (IOException e) {
-                    Thread.onSpinWait();    // nobody listens yet, or it was closed at once
+                    Thread.onSpinWait();    // it does not listen yet, or it has closed the connection at once
                 }
             }
         });
-        comers.start();
+        connector.start();
         try (Program next = restartAndAwaitReady(knownMember(), unusedAddress())) {
-            comers.join(TimeUnit.SECONDS.toMillis(FakeServer.TIMEOUT_SECONDS));
-            assertEquals(CLIENT_COUNT, crowd.size(), "all have come");
+            connector.join(TimeUnit.SECONDS.toMillis(FakeServer.TIMEOUT_SECONDS));
+            assertEquals(CLIENT_COUNT, clients.size(), "all clients have connected");
             assertTrue(next.process.isAlive());
         } finally {
-            comers.interrupt();
-            comers.join();
-            for (Client client : crowd) {
+            connector.interrupt();
+            connector.join();
+            for (Client client : clients) {
                 client.close();
             }
         }
     }
 
-    /** The process before was killed while it wrote what it had learnt. */
+    /** The previous process was killed while it wrote its learned state. */
     @Test void becomesReadyWithTruncatedLearnedStateFile() throws IOException, InterruptedException {
         serveOne(first);
-        Path learnt = folder.resolve("badgermux-n").resolve("learnt");
-        Await.until("what was learnt", () -> Files.isRegularFile(learnt));
+        Path stateFile = folder.resolve("badgermux-n").resolve("learnt");
+        Await.until("the learned state", () -> Files.isRegularFile(stateFile));
         first.kill();
-        byte[] whole = Files.readAllBytes(learnt);
-        byte[] half = java.util.Arrays.copyOf(whole, whole.length / 2);
-        Files.write(learnt, half);
-        Files.write(learnt.resolveSibling("learnt.new"), half);
+        byte[] whole = Files.readAllBytes(stateFile);
+        byte[] half = Arrays.copyOf(whole, whole.length / 2);
+        Files.write(stateFile, half);
+        Files.write(stateFile.resolveSibling("learnt.new"), half);
         restartAndAwaitReady(knownMember(), unusedAddress()).close();
     }
 
     /**
-     * With no list at all there is nobody to serve with: {@code /healthz} says 503 until discovery gives one, and 200 from then
-     * on. The protocol page says only that clients are led here once it has answered 200; the users' term of 6 s is about a
-     * process that knows a list, or that discovery tells one.
+     * Without a backend list the program cannot serve: {@code /healthz} responds 503 until discovery sends a list, and 200 from
+     * then on. The protocol page says only that clients are directed to a process once it has responded 200; the limit of 6 s is
+     * for a process that has a list, from its configuration or from discovery.
      */
     @Test void isNotReadyUntilDiscoverySendsAList() throws IOException, InterruptedException {
         first.kill();
@@ -164,7 +165,7 @@
         Path config = Program.writeConfig(folder, "", 1024, 192, Program.SETTINGS);
         try (Program next = Program.startOnPort(config, first.port(), address, folder)) {
             next.discardLog();
-            Await.until("an answer", () -> {
+            Await.until("a 503 of /healthz", () -> {
                 try (Client client = next.client()) {
                     return client.get("/healthz").status() == 503;
                 } catch (IOException e) {
--- a/src/test/java/badgermux/it/TenantQuotaIT.java
+++ b/src/test/java/badgermux/it/TenantQuotaIT.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The real program where tenants share the fleet. */
+/** The built program with tenants that share the backends. */
 @Timeout(60)
 class TenantQuotaIT {
     @TempDir private Path folder;
@@ -23,47 +23,50 @@
             .replace("\"How\":\"silent\",\"Columns\":[]", "\"How\":\"piggyback\",\"Columns\":[\"x0\"]");
     }
 
-    private static void sendResultWithLoad(FakeServer.Exchange call, int free) throws IOException {
-        call.sendStarted().sendLine("done", ",\"result\":\"r\",\"load\":{\"x0\":" + free + "}").endResponse();
+    /** Responds with a result and a load report. */
+    private static void sendResultWithLoad(FakeServer.Exchange exchange, int freeSlots) throws IOException {
+        exchange.sendStarted().sendLine("done", ",\"result\":\"r\",\"load\":{\"x0\":" + freeSlots + "}").endResponse();
     }
 
+    /** Returns the text of a request; without a tenant if the name is empty. */
     private static String requestOfTenant(String tenant) {
         return Client.request("/preview", "5000m", tenant.isEmpty() ? "" : "X-Tenant-Id: " + tenant + "\r\n", "");
     }
 
-    /** All requests counted for the first tenant: what was beyond its share was held, whoever had sent it. */
+    /** Each request counts for its own tenant. If all counted for the first one, requests beyond its quota would be held. */
     @Test void servesTenantWithinQuotaWhileAnotherExceedsIt() throws IOException, InterruptedException {
         FakeServer backend = new FakeServer();
         try (Program program = new Program(folder, member("s-1", backend, "east", "SERVING"), 1024, settings());
-                Client one = program.client(); Client two = program.client(); Client three = program.client();
-                Client four = program.client()) {
+                Client clientOfA = program.client(); Client firstClientOfB = program.client();
+                Client secondClientOfB = program.client(); Client clientWithoutTenant = program.client()) {
             for (int i = 0; i < 8; i++) {
-                one.send(requestOfTenant("desk a"));
+                clientOfA.send(requestOfTenant("desk a"));
                 sendResultWithLoad(backend.take(), 2);
-                assertEquals(200, one.read().status());
+                assertEquals(200, clientOfA.read().status());
             }
-            two.send(requestOfTenant("b"));
+            firstClientOfB.send(requestOfTenant("b"));
             FakeServer.Exchange running = backend.take().sendStarted();
-            one.send(requestOfTenant("desk a"));
-            four.send(requestOfTenant(""));
+            clientOfA.send(requestOfTenant("desk a"));
+            clientWithoutTenant.send(requestOfTenant(""));
             while (program.counterValue("reqs_taken") < 11) {
                 Thread.onSpinWait();
             }
-            three.send(requestOfTenant("b"));
+            secondClientOfB.send(requestOfTenant("b"));
             FakeServer.Exchange next = backend.take();
-            assertEquals("b", next.header("X-Tenant-Id"), "a is beyond its share, and who names no tenant has none");
+            assertEquals("b", next.header("X-Tenant-Id"),
+                "the first tenant is beyond its quota, and a request without a tenant has none");
             assertNull(backend.poll());
             assertEquals(1, program.counterValue("tenants_unknown"));
             next.sendResult("r");
             running.sendLine("done", ",\"result\":\"r\"").endResponse();
-            assertEquals(200, three.read().status());
-            assertEquals(200, two.read().status());
+            assertEquals(200, secondClientOfB.read().status());
+            assertEquals(200, firstClientOfB.read().status());
             sendResultWithLoad(backend.take(), 2);
             sendResultWithLoad(backend.take(), 2);
-            assertEquals(200, one.read().status());
-            assertEquals(200, four.read().status());
-            three.send(requestOfTenant("b\r\nX-Tenant-Id: desk a"));
-            assertTrue(three.read().status() == 400, "two tenants");
+            assertEquals(200, clientOfA.read().status());
+            assertEquals(200, clientWithoutTenant.read().status());
+            secondClientOfB.send(requestOfTenant("b\r\nX-Tenant-Id: desk a"));
+            assertTrue(secondClientOfB.read().status() == 400, "a request with two tenants");
         }
         backend.close();
     }
