--- a/src/test/java/badgermux/it/HotRestartIT.java
+++ b/src/test/java/badgermux/it/HotRestartIT.java
@@ -30,6 +30,8 @@
     private FakeServer firstBackend;
     private FakeServer secondBackend;
     private Supervisor supervisor;
+    /** Null in tests without load. */
+    private LoadGenerator load;
     private final AtomicBoolean isStopped = new AtomicBoolean();
     private final AtomicInteger executedCount = new AtomicInteger();
     private final List<Thread> threads = new CopyOnWriteArrayList<>();
@@ -44,6 +46,9 @@
     @AfterEach void tearDown() throws IOException, InterruptedException {
         isStopped.set(true);
         supervisor.close();
+        if (load != null) {
+            load.close();
+        }
         for (Thread thread : threads) {
             thread.join();
         }
@@ -83,77 +88,12 @@
         });
     }
 
-    /** Sends requests one after another on persistent connections and counts them. */
-    private final class LoadGenerator {
-        final AtomicInteger sent = new AtomicInteger();
-        /** Requests answered 200. */
-        final AtomicInteger served = new AtomicInteger();
-        /** Requests sent while the program was closing their connection; each is sent again. */
-        final AtomicInteger crossedCloses = new AtomicInteger();
-        /** Requests that got no response when sent again. */
-        final AtomicInteger failed = new AtomicInteger();
-        final AtomicBoolean isEnded = new AtomicBoolean();
-
-        LoadGenerator(int clients) {
-            for (int i = 0; i < clients; i++) {
-                startThread(() -> {
-                    Client client = supervisor.client();
-                    while (!isEnded.get()) {
-                        sent.incrementAndGet();
-                        String request = Client.request("/publish", "5000m",
-                            "Idempotency-Key: " + Client.nextRequestId() + "\r\n", "");
-                        client = sendWithRetry(client, request);
-                    }
-                    client.close();
-                });
-            }
-        }
-
-        /**
-         * Sends a request, once more on a new connection if the connection was closed instead of an answer: as the protocol
-         * allows, a close may cross a request on a connection that was used before. Returns the connection for the next request.
-         */
-        private Client sendWithRetry(Client connection, String request) throws IOException {
-            Client client = connection;
-            for (boolean isFirst = true; ; isFirst = false) {
-                try {
-                    Client.Response response = client.send(request).read();
-                    served.addAndGet(response.status() == 200 ? 1 : 0);
-                    if ("close".equals(response.header("Connection"))) {
-                        client.close();
-                        client = supervisor.client();
-                    }
-                    return client;
-                } catch (IOException | AssertionError e) {
-                    (isFirst ? crossedCloses : failed).incrementAndGet();
-                    client.close();
-                    client = supervisor.client();
-                    if (!isFirst) {
-                        return client;
-                    }
-                }
-            }
-        }
-
-        /** Waits until that many more requests have been answered 200. */
-        void awaitMoreServed(int more) {
-            int servedBefore = served.get();
-            Await.until("more served requests", () -> served.get() >= servedBefore + more);
-        }
-
-        /** Stops sending and waits until no request is open. */
-        void endAndAwaitResponses() {
-            isEnded.set(true);
-            Await.until("responses to all requests", () -> served.get() + failed.get() >= sent.get());
-        }
-    }
-
     @Test void answersEachRequestOnceUnderLoad() throws IOException, InterruptedException {
         startServing(firstBackend, 3);
         startServing(secondBackend, 3);
         Supervisor.Instance previous = supervisor.start();
         previous.awaitReady();
-        LoadGenerator load = new LoadGenerator(8);
+        load = new LoadGenerator(supervisor, 8);
         load.awaitMoreServed(50);
         long startedNanos = System.nanoTime();
         Supervisor.Instance next = supervisor.start();
@@ -285,7 +225,7 @@
         startServing(secondBackend, 2);
         Supervisor.Instance first = supervisor.start();
         first.awaitReady();
-        LoadGenerator load = new LoadGenerator(4);
+        load = new LoadGenerator(supervisor, 4);
         Supervisor.Instance second = supervisor.start().awaitLog("Serving");
         Supervisor.Instance third = supervisor.start();
         second.awaitReady();
