--- a/src/test/java/badgermux/it/Program.java
+++ b/src/test/java/badgermux/it/Program.java
@@ -20,6 +20,8 @@
 final class Program implements Closeable {
     private static final Pattern RUN_COMMAND = Pattern.compile("^run = \"(.*)\"$", Pattern.MULTILINE);
     private static final Pattern LISTEN_PORT = Pattern.compile("listens on .*:(\\d+)$");
+    /** The system property with the root folder of another built clone; see {@link #otherBuildCommand}. */
+    private static final String OTHER_BUILD_PROPERTY = "badgermux.otherBuild";
     /** Settings for two zones, one kind and three request classes, without probes and load reports. */
     static final String SETTINGS = "{\"Zone\":0,\"FailureDomains\":[\"east\",\"west\"],\"Kinds\":[\"k\"],"
         + "\"Discovery\":\"on_request\",\"Report\":{\"How\":\"silent\",\"Columns\":[]},\"Customers\":[],"
@@ -69,8 +71,12 @@
     /** The same with a shell command. */
     static Program startWithConsole(String command, Path folder, String members, int sockets, String settings)
             throws IOException {
-        Program program = new Program(command, writeConfig(folder, members, sockets, 192, settings),
-            Map.of("GW_ADMIN", "127.0.0.1:0", "TMPDIR", folder.toString()));
+        return startOnConfig(command, writeConfig(folder, members, sockets, 192, settings), folder);
+    }
+
+    /** The same on a configuration file that exists already; {@code tmp} is the TMPDIR. */
+    static Program startOnConfig(String command, Path config, Path tmp) throws IOException {
+        Program program = new Program(command, config, Map.of("GW_ADMIN", "127.0.0.1:0", "TMPDIR", tmp.toString()));
         program.awaitPort();
         return program;
     }
@@ -122,7 +128,12 @@
 
     /** Starts the program with an admin API and further command-line options, and waits until it listens. */
     Program(Path folder, String members, String options) throws IOException {
-        this(runCommand() + " --admin 127.0.0.1:0 " + options, writeConfig(folder, members, 1024, 192, SETTINGS));
+        this(runCommand(), folder, members, options);
+    }
+
+    /** The same with a shell command. */
+    Program(String command, Path folder, String members, String options) throws IOException {
+        this(command + " --admin 127.0.0.1:0 " + options, writeConfig(folder, members, 1024, 192, SETTINGS));
         awaitPort();
     }
 
@@ -160,13 +171,27 @@
 
     /** Returns the shell command that starts this build, from deploy/balancer.toml. */
     static String runCommand() throws IOException {
-        Matcher run = RUN_COMMAND.matcher(Files.readString(Path.of("deploy", "balancer.toml")));
+        return runCommand(Path.of(""));
+    }
+
+    private static String runCommand(Path root) throws IOException {
+        Path file = root.resolve("deploy").resolve("balancer.toml");
+        Matcher run = RUN_COMMAND.matcher(Files.readString(file));
         if (!run.find()) {
-            throw new IOException("no key \"run\" in deploy/balancer.toml");
+            throw new IOException("no key \"run\" in " + file);
         }
         return run.group(1);
     }
 
+    /**
+     * Returns the shell command that starts the build in the folder that the system property {@code badgermux.otherBuild}
+     * names; the command of this build if it is not set.
+     */
+    static String otherBuildCommand() throws IOException {
+        String root = System.getProperty(OTHER_BUILD_PROPERTY, "");
+        return root.isEmpty() ? runCommand() : "cd '" + root + "' && " + runCommand(Path.of(root));
+    }
+
     /** Starts the program by a shell command; does not wait until it listens. */
     Program(String command, Path config) throws IOException {
         this(command, config, Map.of());
--- a/src/test/java/badgermux/it/Supervisor.java
+++ b/src/test/java/badgermux/it/Supervisor.java
@@ -106,9 +106,14 @@
 
     /** Starts an instance with the run command of this build. */
     Instance start() throws IOException {
+        return start(Program.runCommand());
+    }
+
+    /** Starts an instance with a shell command, as the supervisor does in a hot restart. */
+    Instance start(String command) throws IOException {
         Path logPrefix = folder.resolve("run" + instances.size());
         Files.createFile(folder.resolve("run" + instances.size() + ".err"));
-        String line = String.join("\t", logPrefix.toString(), Program.runCommand(), "GW_CONFIG=" + folder.resolve("config.json"),
+        String line = String.join("\t", logPrefix.toString(), command, "GW_CONFIG=" + folder.resolve("config.json"),
             "TMPDIR=" + folder, "GW_LISTEN=127.0.0.1:" + port, "GW_DISCOVERY=" + discovery.address(),
             "GW_ADMIN=127.0.0.1:0", "GW_SOCKET_FD=0");
         process.getOutputStream().write((line + "\n").getBytes(StandardCharsets.UTF_8));
