--- a/src/test/java/badgermux/it/ConsoleIT.java
+++ b/src/test/java/badgermux/it/ConsoleIT.java
@@ -20,7 +20,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Operators' calls on the real program, its figures against the peers' ledgers, and runners cordoned. */
+/**
+ * Runs the packaged program and its operators' console: commands, cordoned backends, and the metrics compared with what the
+ * backends have seen.
+ */
 @Timeout(60)
 class ConsoleIT {
     private static final long SECOND_NANOS = 1_000_000_000L;
@@ -46,19 +49,19 @@
         secondBackend.close();
     }
 
-    /** Serves requests one after another; how many of them came to the first backend. */
+    /** Serves requests one after another; returns how many of them the first backend got. */
     private int countServedByFirst(int requests) throws IOException, InterruptedException {
-        int came = 0;
+        int served = 0;
         try (Client client = program.client()) {
             for (int i = 0; i < requests; i++) {
                 client.send(Client.request("/preview", "5000m", "", ""));
-                FakeServer.Exchange call = Await.nextExchange(firstBackend, secondBackend);
-                came += call.receiver == firstBackend ? 1 : 0;
-                call.sendResult("r");
+                FakeServer.Exchange exchange = Await.nextExchange(firstBackend, secondBackend);
+                served += exchange.receiver == firstBackend ? 1 : 0;
+                exchange.sendResult("r");
                 assertEquals(200, client.read().status());
             }
         }
-        return came;
+        return served;
     }
 
     @Test void answersEachCommand() throws IOException {
@@ -84,31 +87,33 @@
         }
     }
 
+    /** A hundred connections with an incomplete command delay neither requests nor other commands. */
     @Test void hundredIncompleteCommandsDelayNobody() throws IOException, InterruptedException {
-        List<Socket> holders = new ArrayList<>();
+        List<Socket> openSockets = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
-            holders.add(program.consoleSocket());
-            holders.get(i).getOutputStream().write("HEAL".getBytes(StandardCharsets.US_ASCII));
+            openSockets.add(program.consoleSocket());
+            openSockets.get(i).getOutputStream().write("HEAL".getBytes(StandardCharsets.US_ASCII));
         }
         for (int i = 0; i < 20; i++) {
             countServedByFirst(2);
-            long before = System.nanoTime();
+            long startNanos = System.nanoTime();
             assertEquals("200 ready\n", program.callConsole("HEALTH"));
-            assertTrue(System.nanoTime() - before < SECOND_NANOS);
+            assertTrue(System.nanoTime() - startNanos < SECOND_NANOS);
         }
-        for (Socket holder : holders) {
-            holder.close();
+        for (Socket socket : openSockets) {
+            socket.close();
         }
     }
 
+    /** Client connections cannot use up the descriptors that are reserved for the console. */
     @Test void clientFloodDoesNotBlockConsole() throws IOException {
         List<Client> clients = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
             clients.add(program.client().send("POST /preview HTTP/1.1\r\n"));
         }
-        long before = System.nanoTime();
+        long startNanos = System.nanoTime();
         assertEquals("200 ready\n", program.callConsole("HEALTH"));
-        assertTrue(System.nanoTime() - before < SECOND_NANOS);
+        assertTrue(System.nanoTime() - startNanos < SECOND_NANOS);
         for (Client client : clients) {
             client.close();
         }
@@ -122,21 +127,25 @@
         assertEquals("200 out: s-1\n", program.callConsole("OFFLINE s-1"));
         assertEquals(1, program.dumpValue("cluster_unhealthy"));
         assertEquals(0, countServedByFirst(20));
-        for (int i = 0; i < 3; i++) {     // gone, back, and all anew, which SIGHUP brings
+        for (int i = 0; i < 3; i++) {     // removed, added again, and a full list after SIGHUP
             if (i == 2) {
                 program.sendSighup();
             }
             String list = i == 0 ? member("s-1", firstBackend, "east", "DELETED") : members("SERVING");
             program.discovery.take().reply("200 OK", "{\"revision\":" + (9 + i) + ",\"complete\":" + (i == 2)
                 + ",\"members\":[" + list + "]}");
-            int lists = i;
-            Await.until("the list", () -> program.counterValue("director_lists") > lists);
+            int listsBefore = i;
+            Await.until("the list", () -> program.counterValue("director_lists") > listsBefore);
             assertEquals(0, countServedByFirst(10), list);
         }
         assertEquals(1, program.counterValue("reloads"));
         assertEquals(1, program.dumpValue("cluster_unhealthy"));
     }
 
+    /**
+     * Cordons are stored under TMPDIR. After a restart they are still in force, a foreign file in their folder does no harm,
+     * and a single ONLINE ends one.
+     */
     @Test void cordonSurvivesRestartAndOneOnlineEndsIt() throws IOException, InterruptedException {
         assertEquals("200 out: s-1\n", program.callConsole("OFFLINE s-1"));
         assertEquals("200 out: s-1\n", program.callConsole("OFFLINE s-1"));
@@ -163,48 +172,48 @@
         assertEquals(1, program.dumpValue("cluster_size"));
         assertTrue(program.callConsole("OFFLINE s-1").startsWith("200"));
         assertTrue(program.callConsole("ONLINE s-1").startsWith("200"));
-        assertTrue(program.callConsole("ONLINE s-1").startsWith("400"), "nobody has that id now");
+        assertTrue(program.callConsole("ONLINE s-1").startsWith("400"), "no backend has that id any more");
     }
 
-    /** Every ending once or more; what the program counts against what the peers have seen. */
+    /** Brings about each kind of outcome and compares the metrics with what backends and clients have seen. */
     @Test void metricsMatchWhatPeersSaw() throws IOException, InterruptedException {
         program.callConsole("OFFLINE s-1");
         int sends = 0;
-        Client leaver = program.client();
-        try (Client client = program.client(); Client bad = program.client()) {
+        Client leavingClient = program.client();
+        try (Client client = program.client(); Client invalidClient = program.client()) {
             for (int i = 0; i < 3; i++) {       // served
                 client.send(Client.request("/preview", "5000m", "", ""));
                 secondBackend.take().sendResult("r");
                 sends++;
                 assertEquals(200, client.read().status());
             }
-            client.send(Client.request("/preview", "5000m", "", ""));   // handed back, then served
+            client.send(Client.request("/preview", "5000m", "", ""));   // rejected as not processed, then served
             secondBackend.take().reply("503 Busy\r\nX-Not-Processed: 1", "");
             secondBackend.take().sendResult("r");
             sends += 2;
             assertEquals(200, client.read().status());
-            client.send(Client.request("/pay", "5000m", "", ""));   // failed: it may have run
+            client.send(Client.request("/pay", "5000m", "", ""));   // failed because it may have run
             secondBackend.take().reply("500 Error", "");
             sends++;
             assertEquals(500, client.read().status());
-            client.send(Client.request("/pay", "1500m", "", ""));   // time runs out
+            client.send(Client.request("/pay", "1500m", "", ""));   // the deadline passes
             secondBackend.take();
             sends++;
             assertEquals(504, client.read().status());
-            leaver.send(Client.request("/pay", "5000m", "", ""));    // the client leaves
+            leavingClient.send(Client.request("/pay", "5000m", "", ""));    // the client disconnects
             secondBackend.take();
             sends++;
             assertEquals(1, program.dumpValue("current"));
-            leaver.close();
-            bad.send("POST /preview HTTP/1.1\r\nHost: x\r\n\r\n");    // no request at all
-            assertEquals(400, bad.read().status());
+            leavingClient.close();
+            invalidClient.send("POST /preview HTTP/1.1\r\nHost: x\r\n\r\n");    // not a valid request
+            assertEquals(400, invalidClient.read().status());
             program.callConsole("OFFLINE s-2");
-            client.send(Client.request("/preview", "300m", "", ""));    // nobody may take it
-            int refused = client.read().status() == 503 ? 1 : 0;
-            Await.until("all have ended", () -> program.dumpValue("current") == 0);
+            client.send(Client.request("/preview", "300m", "", ""));    // no backend is left
+            int deferred = client.read().status() == 503 ? 1 : 0;
+            Await.until("all requests have ended", () -> program.dumpValue("current") == 0);
             assertEquals(4, program.dumpValue("transactions.preview.answered"));
-            assertEquals(refused, program.dumpValue("transactions.preview.deferred"));
-            assertEquals(1 - refused, program.dumpValue("transactions.preview.errored"));
+            assertEquals(deferred, program.dumpValue("transactions.preview.deferred"));
+            assertEquals(1 - deferred, program.dumpValue("transactions.preview.errored"));
             assertEquals(0, program.dumpValue("transactions.pay.answered"));
             assertEquals(2, program.dumpValue("transactions.pay.errored"));
             assertEquals(sends, program.dumpValue("sends"));
@@ -221,10 +230,11 @@
             Program.SETTINGS.replace("\"Cancel\"", "\"ParallelTries\":true,\"Cancel\""));
         try (Client client = program.client()) {
             client.send(Client.request("/preview", "5000m", "", ""));
-            FakeServer.Exchange first = Await.nextExchange(firstBackend, secondBackend);
-            Await.nextExchange(firstBackend, secondBackend).sendResult("copy");      // the first does not start, so a copy goes to the other
+            FakeServer.Exchange firstAttempt = Await.nextExchange(firstBackend, secondBackend);
+            // The first attempt does not start, so the other backend gets a second one.
+            Await.nextExchange(firstBackend, secondBackend).sendResult("copy");
             assertEquals("copy", client.read().body());
-            assertTrue(first.isClosedByClient(), "the other is withdrawn");
+            assertTrue(firstAttempt.isClosedByClient(), "the first attempt is cancelled");
             assertEquals(2, program.dumpValue("sends"));
             assertEquals(1, program.dumpValue("transactions.preview.answered"));
             assertEquals(0, program.dumpValue("current"));
@@ -234,35 +244,40 @@
     @Test void countsRequestsServedDuringShutdown() throws IOException, InterruptedException {
         try (Client client = program.client()) {
             client.send(Client.request("/preview", "5000m", "", ""));
-            FakeServer.Exchange call = Await.nextExchange(firstBackend, secondBackend);
+            FakeServer.Exchange exchange = Await.nextExchange(firstBackend, secondBackend);
             program.process.toHandle().destroy();
-            Await.until("the end", () -> program.callConsole("HEALTH").startsWith("400 this process is ending"));
+            Await.until("the beginning of the shutdown",
+                () -> program.callConsole("HEALTH").startsWith("400 this process is ending"));
             assertEquals(1, program.dumpValue("current"));
-            call.sendResult("r");
+            exchange.sendResult("r");
             assertEquals(200, client.read().status());
             assertTrue(program.awaitOutput().contains("badgermux_answers_served{class=\"preview\"} 1\n"));
         }
     }
 
+    /**
+     * A cordon that cannot be stored is rejected and has no effect. A process that starts in this state serves anyway and
+     * keeps cordons in memory only.
+     */
     @Test void undoesAndRejectsCordonThatCannotBeStored() throws IOException, InterruptedException {
-        Path out = folder.resolve("badgermux-n/out");
-        Files.delete(out);
-        Files.writeString(out, "in the way");
+        Path cordonFolder = folder.resolve("badgermux-n/out");
+        Files.delete(cordonFolder);
+        Files.writeString(cordonFolder, "not a folder");
         assertTrue(program.callConsole("OFFLINE s-1").startsWith("400 it can't be kept"));
         assertEquals(0, program.dumpValue("cluster_unhealthy"));
         program.close();
         program.process.onExit().join();
-        program = Program.startWithConsole(folder, members("SERVING"), 256);     // it starts all the same, and keeps nothing
+        program = Program.startWithConsole(folder, members("SERVING"), 256);     // starts, but stores nothing
         assertEquals("200 out: s-1\n", program.callConsole("OFFLINE s-1"));
         assertEquals(0, countServedByFirst(5));
     }
 
     @Test void withoutAdminAddressNothingListensAndNoFileIsCreated() throws IOException {
-        Path empty = Files.createDirectory(folder.resolve("none"));
-        try (Program plain = new Program(empty, members("SERVING"))) {
-            assertEquals(0, plain.counterValue("console_calls"));
+        Path emptyFolder = Files.createDirectory(folder.resolve("none"));
+        try (Program withoutConsole = new Program(emptyFolder, members("SERVING"))) {
+            assertEquals(0, withoutConsole.counterValue("console_calls"));
         }
-        try (var files = Files.list(empty)) {
+        try (var files = Files.list(emptyFolder)) {
             assertEquals(List.of("config.json"), files.map(file -> file.getFileName().toString()).toList());
         }
     }
--- a/src/test/java/badgermux/it/EventOrderIT.java
+++ b/src/test/java/badgermux/it/EventOrderIT.java
@@ -20,423 +20,470 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Requests, answers, closes and news in the one order that is wrong, every time: the event loop is held meanwhile. */
+/**
+ * Reproduces rare orders of events between clients, backends and discovery. The event loop is blocked while a test lets the
+ * events happen, so that each order is the same in every run.
+ */
 @Timeout(60)
 class EventOrderIT {
-    private InProcessDispatcher parts;
+    private InProcessDispatcher dispatcher;
     private FakeServer backend;
     private Client client;
 
     @BeforeEach void start() throws Exception {
-        parts = new InProcessDispatcher();
+        dispatcher = new InProcessDispatcher();
         backend = new FakeServer();
-        client = parts.client();
-        parts.runOnEventLoop(() -> parts.backendClient.setAddress(1, addressOf(backend)));
+        client = dispatcher.client();
+        dispatcher.runOnEventLoop(() -> dispatcher.backendClient.setAddress(1, addressOf(backend)));
     }
 
     @AfterEach void stop() throws IOException {
         client.close();
         backend.close();
-        parts.close();
+        dispatcher.close();
     }
 
-    private static InetSocketAddress addressOf(FakeServer peer) {
-        return new InetSocketAddress("127.0.0.1", peer.port());
+    private static InetSocketAddress addressOf(FakeServer server) {
+        return new InetSocketAddress("127.0.0.1", server.port());
     }
 
-    /** A close over bytes that nobody has read is a reset, which takes the answer before it along. */
+    /**
+     * Closing a socket with unread input resets the connection, and the client would lose the answer that was written before.
+     * The input arrives here just as the last answer is written.
+     */
     @Test void finalAnswerIsReadableWhenMoreInputArrivesAtClose() throws Exception {
         client.send(Client.request("/preview", "5000m", "Connection: close\r\n", ""));
-        long job = parts.awaitRequest();
-        parts.runOnEventLoop(() -> {
+        long requestId = dispatcher.awaitRequest();
+        dispatcher.runOnEventLoop(() -> {
             client.send("x".repeat(10_000));
-            parts.engine.refuse(job, 0);
+            dispatcher.engine.refuse(requestId, 0);
         });
-        assertEquals(1, parts.clientConnections(), "it is heard out, not closed over what lies unread");
+        assertEquals(1, dispatcher.clientConnections(), "the connection stays open until its input is read");
         assertEquals(503, client.read().status());
-        assertTrue(client.isClosedByServer(), "ended in order, not reset");
+        assertTrue(client.isClosedByServer(), "closed with FIN, not reset");
         client.close();
-        Await.until("its end, once its client has left", () -> parts.clientConnections() == 0);
+        Await.until("the connection is closed after its client closed", () -> dispatcher.clientConnections() == 0);
     }
 
-    /** A client that rests sends just as its connection is closed: it sees the end, and sends once more elsewhere. */
+    /**
+     * A client sends on an idle connection just as the program closes it. It must see an orderly close, so that it can send the
+     * request again on another connection.
+     */
     @Test void requestCrossingCloseOfIdleConnectionIsNeitherServedNorReset() throws Exception {
         client.send(Client.request("/preview", "5000m", "", ""));
-        long job = parts.awaitRequest();
-        parts.runOnEventLoop(() -> parts.engine.refuse(job, 0));
+        long requestId = dispatcher.awaitRequest();
+        dispatcher.runOnEventLoop(() -> dispatcher.engine.refuse(requestId, 0));
         assertEquals(503, client.read().status());
-        parts.runOnEventLoop(() -> {
+        dispatcher.runOnEventLoop(() -> {
             client.send(Client.request("/preview", "5000m", "", ""));
-            parts.frontend.handOver();
+            dispatcher.frontend.handOver();
         });
-        assertEquals(1, parts.clientConnections(), "it is heard out, not closed over what lies unread");
-        assertTrue(client.isClosedByServer(), "ended in order, not reset");
-        assertFalse(parts.hasRequest(), "what is read after the shutdown is no request of ours");
-        assertEquals(1, parts.metrics.get(Count.REQS_TAKEN));
+        assertEquals(1, dispatcher.clientConnections(), "the connection stays open until its input is read");
+        assertTrue(client.isClosedByServer(), "closed with FIN, not reset");
+        assertFalse(dispatcher.hasRequest(), "input after the close is not taken as a request");
+        assertEquals(1, dispatcher.metrics.get(Count.REQS_TAKEN));
     }
 
-    /** However it leaves, nothing that waits in the module is sent on, and its id, its place and its deadline are free again. */
+    /**
+     * Whether a client closes, half-closes or resets: its held request is not sent, and its id, connection slot and deadline are
+     * free again.
+     */
     @Test void disconnectOfWaitingClientReleasesItsRequest() throws Exception {
-        Client closes = parts.client();
-        try (Client halfCloses = parts.client(); Client resets = parts.client()) {
-            for (Client each : List.of(closes, halfCloses, resets)) {
-                each.send(Client.request("/preview", "5000m", "", ""));
-                parts.awaitRequest();
+        Client closes = dispatcher.client();
+        try (Client halfCloses = dispatcher.client(); Client resets = dispatcher.client()) {
+            for (Client waiting : List.of(closes, halfCloses, resets)) {
+                waiting.send(Client.request("/preview", "5000m", "", ""));
+                dispatcher.awaitRequest();
             }
             closes.close();
             halfCloses.halfClose();
             resets.reset();
-            Await.until("their leave", () -> parts.counterValue(Count.CLIENTS_GONE) == 3);
-            parts.runOnEventLoop(() -> {
-                assertEquals(List.of("gone", "gone", "gone"), parts.policyEvents);
-                assertEquals(0, parts.engine.openRequestCount());
+            Await.until("all clients are counted as gone", () -> dispatcher.counterValue(Count.CLIENTS_GONE) == 3);
+            dispatcher.runOnEventLoop(() -> {
+                assertEquals(List.of("gone", "gone", "gone"), dispatcher.policyEvents);
+                assertEquals(0, dispatcher.engine.openRequestCount());
             });
-            Await.until("their ends", () -> parts.clientConnections() == 1);
-            assertEquals(0, parts.counterValue(Count.FETCHES_SENT));
+            Await.until("the other connections are closed", () -> dispatcher.clientConnections() == 1);
+            assertEquals(0, dispatcher.counterValue(Count.FETCHES_SENT));
             assertNull(backend.poll());
         }
     }
 
-    /** The event loop is late: the request and its client's end lie unread together, and the end is behind the request. */
+    /** The event loop is late: a request and the close of its client are read together, the close behind the request. */
     @Test void doesNotSendRequestOfClientThatLeftBeforeItWasRead() throws Exception {
         openIdleConnections(1, backend, 1);
-        parts.sendToBackendId = 1;
-        parts.runOnEventLoop(() -> {
+        dispatcher.sendToBackendId = 1;
+        dispatcher.runOnEventLoop(() -> {
             client.send(Client.request("/preview", "5000m", "", ""));
             client.closeAndAwaitFin();
         });
-        Await.until("its end", () -> parts.clientConnections() == 0);
-        assertEquals(1, parts.counterValue(Count.FETCHES_WRITTEN), "the one that opened the connection");
-        assertNull(backend.poll(), "its client had gone when it was read");
+        Await.until("the connection is closed", () -> dispatcher.clientConnections() == 0);
+        assertEquals(1, dispatcher.counterValue(Count.FETCHES_WRITTEN), "the request that opened the connection");
+        assertNull(backend.poll(), "the client had left when its request was read");
     }
 
-    /** Has so many connections to a backend stand idle, so that what is sent there is written at once. */
-    private void openIdleConnections(long id, FakeServer peer, int count) throws Exception {
-        parts.sendToBackendId = id;
+    /** Opens idle connections to a backend, so that later requests to it are written at once. */
+    private void openIdleConnections(long backendId, FakeServer server, int count) throws Exception {
+        dispatcher.sendToBackendId = backendId;
         List<Client> clients = new ArrayList<>();
-        List<FakeServer.Exchange> calls = new ArrayList<>();
+        List<FakeServer.Exchange> exchanges = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            clients.add(parts.client().send(Client.request("/preview", "5000m", "", "")));
-            calls.add(peer.take());
+            clients.add(dispatcher.client().send(Client.request("/preview", "5000m", "", "")));
+            exchanges.add(server.take());
         }
-        for (FakeServer.Exchange call : calls) {
-            call.sendResult("x");
+        for (FakeServer.Exchange exchange : exchanges) {
+            exchange.sendResult("x");
         }
-        for (Client each : clients) {
-            assertEquals(200, each.read().status());
-            each.close();
+        for (Client idle : clients) {
+            assertEquals(200, idle.read().status());
+            idle.close();
         }
-        Await.until("their ends", () -> parts.clientConnections() <= 1);
+        Await.until("the other connections are closed", () -> dispatcher.clientConnections() <= 1);
     }
 
-    /** Where there is no room, clients wait to be let in; the end of one that has left may come behind its request. */
+    /**
+     * At the connection limit new clients wait to be accepted. The close of such a client may be read after its request, so the
+     * request is delayed for a moment before it is sent.
+     */
     @Test void delaysRequestsOfLateAcceptedClientsToDetectDisconnect() throws Exception {
         openIdleConnections(1, backend, 1);
         List<Client> crowd = new ArrayList<>();
         for (int i = 0; i < InProcessDispatcher.MAX_CLIENTS; i++) {
-            crowd.add(parts.client());
+            crowd.add(dispatcher.client());
         }
-        Await.until("a full house", () -> parts.clientConnections() == 1 + InProcessDispatcher.MAX_CLIENTS);
-        parts.runOnEventLoop(() -> parts.setClockStopped(true));
-        long before = parts.counterValue(Count.CLIENT_CONNECTIONS);
-        Client leaves = parts.client();
-        try (Client stays = parts.client()) {
-            Await.until("they are let in", () -> parts.counterValue(Count.CLIENT_CONNECTIONS) == before + 2);
-            leaves.send(Client.request("/preview", "5000m", "", ""));
-            stays.send(Client.request("/preview", "5000m", "", ""));
-            parts.runOnEventLoop(() -> { });  // a round of the event loop in which the requests are read
-            parts.runOnEventLoop(() -> { });
-            long connected = parts.clientConnections();
-            leaves.close();
-            Await.until("its end", () -> parts.clientConnections() < connected);
-            parts.runOnEventLoop(() -> parts.setClockStopped(false));
-            parts.awaitRequest();    // the one that opened the connection
-            parts.awaitRequest();
+        Await.until("the connection limit is reached",
+            () -> dispatcher.clientConnections() == 1 + InProcessDispatcher.MAX_CLIENTS);
+        dispatcher.runOnEventLoop(() -> dispatcher.setClockStopped(true));
+        long connectionsBefore = dispatcher.counterValue(Count.CLIENT_CONNECTIONS);
+        Client leaving = dispatcher.client();
+        try (Client staying = dispatcher.client()) {
+            Await.until("both are accepted", () -> dispatcher.counterValue(Count.CLIENT_CONNECTIONS) == connectionsBefore + 2);
+            leaving.send(Client.request("/preview", "5000m", "", ""));
+            staying.send(Client.request("/preview", "5000m", "", ""));
+            dispatcher.runOnEventLoop(() -> { });  // one round of the event loop, in which the requests are read
+            dispatcher.runOnEventLoop(() -> { });
+            long connectionsWithLeaving = dispatcher.clientConnections();
+            leaving.close();
+            Await.until("the connection is closed", () -> dispatcher.clientConnections() < connectionsWithLeaving);
+            dispatcher.runOnEventLoop(() -> dispatcher.setClockStopped(false));
+            dispatcher.awaitRequest();    // the request that opened the connection
+            dispatcher.awaitRequest();
             backend.take();
-            assertNull(backend.poll(), "who stays is sent on, and nobody else");
-            assertEquals(2, parts.counterValue(Count.FETCHES_WRITTEN), "the one that opened the connection, and who stays");
+            assertNull(backend.poll(), "only the request of the client that stayed is sent");
+            assertEquals(2, dispatcher.counterValue(Count.FETCHES_WRITTEN),
+                "the request that opened the connection and that of the client that stayed");
         }
-        for (Client each : crowd) {
-            each.close();
+        for (Client crowdClient : crowd) {
+            crowdClient.close();
         }
     }
 
-    /** The event loop stands still: a client's time counts from its last byte, not from when that was read. */
+    /**
+     * While the event loop is blocked, the client's timeout runs from the arrival of its last byte, not from the time when that
+     * is read.
+     */
     @Test void deadlineCountsFromArrivalOfRequest() throws Exception {
-        parts.runOnEventLoop(() -> {
-            parts.deadlines.scheduleAfter(0, () -> { });
+        dispatcher.runOnEventLoop(() -> {
+            dispatcher.deadlines.scheduleAfter(0, () -> { });
             client.send(Client.request("/preview", "2000m", "", ""));
-            TimeUnit.MILLISECONDS.sleep(400);   // the standstill itself
+            TimeUnit.MILLISECONDS.sleep(400);   // how long the event loop is blocked
         });
-        parts.awaitRequest();
-        long[] left = new long[1];
-        parts.runOnEventLoop(() -> left[0] = parts.lastRemainingMicros());
-        assertTrue(left[0] < 1_650_000, "it has waited for 0.4 s of its 2 s, but has " + left[0] + " us left");
+        dispatcher.awaitRequest();
+        long[] remainingMicros = new long[1];
+        dispatcher.runOnEventLoop(() -> remainingMicros[0] = dispatcher.lastRemainingMicros());
+        assertTrue(remainingMicros[0] < 1_650_000, "0.4 s of 2 s have passed, but " + remainingMicros[0] + " us are left");
     }
 
-    /** The kill counts from the signal: a process that hears of it late has less time left. */
+    /** SIGKILL is timed from SIGTERM, so a process that handles the signal late has less time for its final answers. */
     @Test void finalAnswersAreTimedFromSignalEvenIfHandledLate() throws Exception {
         client.send(Client.request("/preview", "5000m", "", ""));
-        parts.awaitRequest();
-        long[] toldAt = new long[1];
-        parts.runOnEventLoop(() -> {
-            toldAt[0] = parts.nowMicros() - 3_000_000;
-            parts.frontend.drain(toldAt[0], () -> { });
+        dispatcher.awaitRequest();
+        long[] signalMicros = new long[1];
+        dispatcher.runOnEventLoop(() -> {
+            signalMicros[0] = dispatcher.nowMicros() - 3_000_000;
+            dispatcher.frontend.drain(signalMicros[0], () -> { });
         });
         assertEquals(503, client.read().status());
-        long answeredAt = parts.exitAnswerTimesMicros.get(0) - toldAt[0];
-        assertTrue(answeredAt < 3_400_000, "answered " + answeredAt + " us after the signal; the kill comes after 3,700,000");
+        long answeredAfterMicros = dispatcher.exitAnswerTimesMicros.get(0) - signalMicros[0];
+        assertTrue(answeredAfterMicros < 3_400_000,
+            "answered " + answeredAfterMicros + " us after SIGTERM; SIGKILL follows after 3,700,000 us");
     }
 
-    /** The module leaves it open although the process ends: the engine fails it. */
+    /** The policy does not answer an open request before the process exits, so the engine fails it. */
     @Test void failsRequestsThatPolicyLeavesOpenAtShutdown() throws Exception {
-        parts.refusesBeforeExit = false;
+        dispatcher.refusesBeforeExit = false;
         client.send(Client.request("/preview", "5000m", "", ""));
-        parts.awaitRequest();
-        long[] drainedAt = new long[1];
-        parts.runOnEventLoop(() -> {
-            drainedAt[0] = parts.nowMicros();
-            parts.frontend.drain(drainedAt[0] - 3_300_000, () -> { });
+        dispatcher.awaitRequest();
+        long[] drainStartMicros = new long[1];
+        dispatcher.runOnEventLoop(() -> {
+            drainStartMicros[0] = dispatcher.nowMicros();
+            dispatcher.frontend.drain(drainStartMicros[0] - 3_300_000, () -> { });
         });
         assertEquals(504, client.read().status());
-        parts.runOnEventLoop(() -> assertTrue(parts.nowMicros() - drainedAt[0] < 2_000_000, "at the end, not when its client gives up"));
+        dispatcher.runOnEventLoop(() -> assertTrue(dispatcher.nowMicros() - drainStartMicros[0] < 2_000_000,
+            "failed at shutdown, not at the client's timeout"));
     }
 
-    /** Two whole requests on one connection, and the process is told to end: both are answered. */
+    /** Two complete requests are on one connection when the shutdown begins: both are answered. */
     @Test void answersPipelinedRequestAtShutdown() throws Exception {
         client.send(Client.request("/preview", "5000m", "", "") + Client.request("/preview", "5000m", "", ""));
-        long first = parts.awaitRequest();
-        parts.runOnEventLoop(() -> {
-            parts.frontend.drain(parts.nowMicros(), () -> { });
-            parts.engine.refuse(first, 0);
+        long firstId = dispatcher.awaitRequest();
+        dispatcher.runOnEventLoop(() -> {
+            dispatcher.frontend.drain(dispatcher.nowMicros(), () -> { });
+            dispatcher.engine.refuse(firstId, 0);
         });
-        long second = parts.awaitRequest();
-        parts.runOnEventLoop(() -> parts.engine.refuse(second, 0));
+        long secondId = dispatcher.awaitRequest();
+        dispatcher.runOnEventLoop(() -> dispatcher.engine.refuse(secondId, 0));
         assertEquals(503, client.read().status());
         assertEquals(503, client.read().status());
         assertTrue(client.isClosedByServer());
     }
 
-    /** Half a request has come and no more: where it has to make room its client is told, as its last byte may cross that. */
+    /**
+     * A client whose request is incomplete is evicted. It gets an answer, because the rest of its request may be on the way
+     * already.
+     */
     @Test void answersEvictedClientThatSentHalfARequest() throws Exception {
         client.send("POST /preview HTTP/1.1\r\nHost: x\r\n");
         List<Client> crowd = new ArrayList<>();
-        Await.until("its end", () -> {
-            Client next = parts.client();
+        Await.until("an eviction", () -> {
+            Client next = dispatcher.client();
             crowd.add(next);
             next.send(Client.request("/preview", "5000m", "", ""));
-            return parts.counterValue(Count.CLIENT_CONNECTIONS_EVICTED) > 0;
+            return dispatcher.counterValue(Count.CLIENT_CONNECTIONS_EVICTED) > 0;
         });
         assertEquals(503, client.read().status());
-        for (Client each : crowd) {
-            each.close();
+        for (Client crowdClient : crowd) {
+            crowdClient.close();
         }
     }
 
-    /** A turn-down and the client's end lie unread together: whichever is read first, no second attempt begins. */
+    /**
+     * A backend's rejection and the close of the client are read in the same round: whichever comes first, no second attempt
+     * begins.
+     */
     @Test void doesNotRetryForClientThatLeftBeforeOutcomeWasRead() throws Exception {
         FakeServer other = new FakeServer();
         List<Client> clients = new ArrayList<>();
-        List<FakeServer.Exchange> calls = new ArrayList<>();
-        parts.runOnEventLoop(() -> parts.backendClient.setAddress(2, addressOf(other)));
+        List<FakeServer.Exchange> exchanges = new ArrayList<>();
+        dispatcher.runOnEventLoop(() -> dispatcher.backendClient.setAddress(2, addressOf(other)));
         openIdleConnections(2, other, 8);
-        long before = parts.counterValue(Count.FETCHES_WRITTEN);
-        parts.sendToBackendId = 1;
-        parts.retryBackendId = () -> 2L;
+        long writtenBefore = dispatcher.counterValue(Count.FETCHES_WRITTEN);
+        dispatcher.sendToBackendId = 1;
+        dispatcher.retryBackendId = () -> 2L;
         for (int i = 0; i < 8; i++) {
-            Client each = parts.client();
-            clients.add(each.send(Client.request("/preview", "5000m", "", "")));
-            calls.add(backend.take());
+            Client next = dispatcher.client();
+            clients.add(next.send(Client.request("/preview", "5000m", "", "")));
+            exchanges.add(backend.take());
         }
-        parts.runOnEventLoop(() -> {
-            for (int i = 0; i < calls.size(); i++) {
-                calls.get(i).reply("503 Service Unavailable\r\nX-Not-Processed: 1", "");
+        dispatcher.runOnEventLoop(() -> {
+            for (int i = 0; i < exchanges.size(); i++) {
+                exchanges.get(i).reply("503 Service Unavailable\r\nX-Not-Processed: 1", "");
                 clients.get(i).closeAndAwaitFin();
             }
         });
-        Await.until("their ends", () -> parts.clientConnections() == 1);
-        assertEquals(before + calls.size(), parts.counterValue(Count.FETCHES_WRITTEN));
-        assertNull(other.poll(), "nothing is tried again for a client that has gone");
+        Await.until("the other connections are closed", () -> dispatcher.clientConnections() == 1);
+        assertEquals(writtenBefore + exchanges.size(), dispatcher.counterValue(Count.FETCHES_WRITTEN));
+        assertNull(other.poll(), "no retry for a client that has left");
         other.close();
     }
 
-    /** The connection to a runner comes up in the round of input in which the client's end is read. */
+    /** The connection to a backend is established in the same round of the event loop in which the client's close is read. */
     @Test void doesNotSendForClientThatLeftBeforeConnectionWasUp() throws Exception {
         List<Client> clients = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
-            clients.add(parts.client());
+            clients.add(dispatcher.client());
         }
-        Await.until("all are let in", () -> parts.clientConnections() == 1 + clients.size());
-        AtomicInteger jobs = new AtomicInteger();
-        AtomicInteger connecting = new AtomicInteger();
-        parts.sendToBackendId = 1;
-        parts.onRequestReceived = () -> {
-            if (jobs.incrementAndGet() == clients.size()) {
-                // Behind the tasks that begin the attempts, and before the next round of input.
-                parts.runAfterTasks(3, () -> {
-                    connecting.set((int) parts.backendConnectionsOnEventLoop());
-                    for (Client each : clients) {
-                        each.closeAndAwaitFin();
+        Await.until("all are accepted", () -> dispatcher.clientConnections() == 1 + clients.size());
+        AtomicInteger requestCount = new AtomicInteger();
+        AtomicInteger connectionCount = new AtomicInteger();
+        dispatcher.sendToBackendId = 1;
+        dispatcher.onRequestReceived = () -> {
+            if (requestCount.incrementAndGet() == clients.size()) {
+                // Runs after the tasks that begin the attempts and before the next round of input.
+                dispatcher.runAfterTasks(3, () -> {
+                    connectionCount.set((int) dispatcher.backendConnectionsOnEventLoop());
+                    for (Client leaving : clients) {
+                        leaving.closeAndAwaitFin();
                     }
                 });
             }
         };
-        parts.runOnEventLoop(() -> {
-            for (Client each : clients) {
-                each.send(Client.request("/preview", "5000m", "", ""));
+        dispatcher.runOnEventLoop(() -> {
+            for (Client leaving : clients) {
+                leaving.send(Client.request("/preview", "5000m", "", ""));
             }
         });
-        Await.until("their ends", () -> parts.clientConnections() == 1);
-        assertEquals(clients.size(), connecting.get(), "their attempts had begun");
-        assertEquals(0, parts.counterValue(Count.FETCHES_WRITTEN));
-        assertNull(backend.poll(), "its client had gone when the connection came up");
+        Await.until("the other connections are closed", () -> dispatcher.clientConnections() == 1);
+        assertEquals(clients.size(), connectionCount.get(), "all attempts had begun");
+        assertEquals(0, dispatcher.counterValue(Count.FETCHES_WRITTEN));
+        assertNull(backend.poll(), "the client had left when the connection was established");
     }
 
-    /** A connection to a runner comes up late; its client has left by then, and nothing may be cancelled there. */
+    /**
+     * The client leaves before the connection to the backend is established: nothing is written, so nothing has to be cancelled
+     * there.
+     */
     @Test void doesNotWriteCancelledAttemptOnceConnectionIsUp() throws Exception {
-        parts.sendToBackendId = 1;
-        parts.runOnEventLoop(() -> parts.engine.clientDisconnected(parts.submitWithoutClient()));
-        Await.until("the connection's end", () -> parts.backendConnections() == 0);
-        assertEquals(List.of("MOOT settled"), parts.policyEvents.subList(0, 1));
-        assertEquals(0, parts.metrics.get(Count.FETCHES_WRITTEN));
+        dispatcher.sendToBackendId = 1;
+        dispatcher.runOnEventLoop(() -> dispatcher.engine.clientDisconnected(dispatcher.submitWithoutClient()));
+        Await.until("the connection is closed", () -> dispatcher.backendConnections() == 0);
+        assertEquals(List.of("MOOT settled"), dispatcher.policyEvents.subList(0, 1));
+        assertEquals(0, dispatcher.metrics.get(Count.FETCHES_WRITTEN));
         assertNull(backend.poll());
     }
 
-    /** The runner drains, is gone or has moved while the connection to it comes up: 0.75 s later it may get nothing new. */
+    /**
+     * A backend drains, leaves the list or changes its address while the connection to it is being established. Within 0.75 s
+     * of that it must get no new request, so the unsent attempt goes to another backend.
+     */
     @Test void movesUnsentAttemptWhenBackendDrainsLeavesOrMoves() throws Exception {
         FakeServer other = new FakeServer();
-        parts.sendToBackendId = 1;
-        parts.runOnEventLoop(() -> {
-            parts.backendClient.setAddress(2, addressOf(other));
-            parts.submitWithoutClient();
-            parts.sendToBackendId = 2;
-            parts.backendClient.withdrawUnsentAttempts(1);
+        dispatcher.sendToBackendId = 1;
+        dispatcher.runOnEventLoop(() -> {
+            dispatcher.backendClient.setAddress(2, addressOf(other));
+            dispatcher.submitWithoutClient();
+            dispatcher.sendToBackendId = 2;
+            dispatcher.backendClient.withdrawUnsentAttempts(1);
         });
         assertEquals("POST /preview HTTP/1.1", other.take().head.lines().findFirst().orElseThrow());
-        parts.sendToBackendId = 2;
-        parts.runOnEventLoop(() -> {
-            parts.submitWithoutClient();
-            parts.sendToBackendId = 3;
-            parts.backendClient.setAddress(3, addressOf(other));
-            parts.backendClient.removeBackend(2);
+        dispatcher.sendToBackendId = 2;
+        dispatcher.runOnEventLoop(() -> {
+            dispatcher.submitWithoutClient();
+            dispatcher.sendToBackendId = 3;
+            dispatcher.backendClient.setAddress(3, addressOf(other));
+            dispatcher.backendClient.removeBackend(2);
         });
         other.take();
-        parts.runOnEventLoop(() -> {
-            parts.sendToBackendId = 1;
-            parts.submitWithoutClient();
-            parts.backendClient.setAddress(1, addressOf(other));
+        dispatcher.runOnEventLoop(() -> {
+            dispatcher.sendToBackendId = 1;
+            dispatcher.submitWithoutClient();
+            dispatcher.backendClient.setAddress(1, addressOf(other));
         });
         other.take();
-        assertNull(backend.poll(), "nothing was written to who had drained, gone or moved");
+        assertNull(backend.poll(), "nothing is written to a backend that drained, left or moved");
         other.close();
     }
 
-    /** The response's end never comes: the next attempt went out while the one before it stood on an open connection. */
+    /**
+     * The end of the rejecting response never comes. The retry must not go out while the connection of the rejected attempt
+     * is still open.
+     */
     @Test void closesConnectionOfRejectedAttemptBeforeRetry() throws Exception {
         FakeServer other = new FakeServer();
-        List<Long> open = new ArrayList<>();
-        parts.sendToBackendId = 1;
-        parts.retryBackendId = () -> {
-            open.add(parts.backendConnectionsOnEventLoop());
+        List<Long> connectionsAtRetry = new ArrayList<>();
+        dispatcher.sendToBackendId = 1;
+        dispatcher.retryBackendId = () -> {
+            connectionsAtRetry.add(dispatcher.backendConnectionsOnEventLoop());
             return 2L;
         };
-        parts.runOnEventLoop(() -> parts.backendClient.setAddress(2, addressOf(other)));
-        parts.runOnEventLoop(parts::submitWithoutClient);
+        dispatcher.runOnEventLoop(() -> dispatcher.backendClient.setAddress(2, addressOf(other)));
+        dispatcher.runOnEventLoop(dispatcher::submitWithoutClient);
         backend.take().send("HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 9\r\n\r\nnot");
         other.take().sendResult("r");
-        parts.runOnEventLoop(parts::submitWithoutClient);
+        dispatcher.runOnEventLoop(dispatcher::submitWithoutClient);
         backend.take().sendStarted().sendLine("returned", "");
         other.take().sendResult("r");
-        parts.runOnEventLoop(() -> assertEquals(List.of(0L, 1L), open, "only the idle one to the other runner"));
+        dispatcher.runOnEventLoop(() -> assertEquals(List.of(0L, 1L), connectionsAtRetry,
+            "only the idle connection to the other backend is open"));
         other.close();
     }
 
-    /** The second answer to a probe, which has no id, ended the request that went out on that connection next. */
+    /** A second response to a probe has no id. On a connection that stayed in use, it would end the next request sent there. */
     @Test void closesConnectionAfterFailedProbe() throws Exception {
-        parts.runOnEventLoop(() -> parts.backendClient.probe(1));
+        dispatcher.runOnEventLoop(() -> dispatcher.backendClient.probe(1));
         FakeServer.Exchange probe = backend.take();
         probe.send("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
         assertTrue(probe.isClosedByClient());
-        parts.sendToBackendId = 1;
-        parts.runOnEventLoop(parts::submitWithoutClient);
+        dispatcher.sendToBackendId = 1;
+        dispatcher.runOnEventLoop(dispatcher::submitWithoutClient);
         backend.take().sendResult("r");
-        Await.until("its result", () -> parts.hasPolicyEvent("SERVED settled"));
+        Await.until("the request is served", () -> dispatcher.hasPolicyEvent("SERVED settled"));
     }
 
-    /** An exception in a list left no call and told no failure: nobody watched again. */
+    /**
+     * An exception while a list is applied must be reported as a failure and followed by another call. Otherwise the backend
+     * list would never be watched again.
+     */
     @Test void requestsListAgainAfterExceptionWhileApplyingIt() throws Exception {
         FakeServer agent = new FakeServer();
-        AtomicInteger lists = new AtomicInteger();
-        DiscoveryClient discovery = new DiscoveryClient(parts.eventLoop, parts.deadlines, parts.clock, parts.metrics, parts.engine, parts.backendClient,
-            addressOf(agent), BackendListCodec.decode("{\"revision\":4}"), List.of("east"), List.of("k"), (now, update, list, before) -> {
-                if (update != ListUpdate.CACHED && lists.getAndIncrement() == 0) {
-                    throw new IllegalStateException("seen in a test");
+        AtomicInteger appliedLists = new AtomicInteger();
+        DiscoveryClient discovery = new DiscoveryClient(dispatcher.eventLoop, dispatcher.deadlines, dispatcher.clock,
+            dispatcher.metrics, dispatcher.engine, dispatcher.backendClient, addressOf(agent),
+            BackendListCodec.decode("{\"revision\":4}"), List.of("east"), List.of("k"), (now, update, list, previous) -> {
+                if (update != ListUpdate.CACHED && appliedLists.getAndIncrement() == 0) {
+                    throw new IllegalStateException("thrown by the test");
                 }
                 return list;
             }, null, true);
-        parts.runOnEventLoop(discovery::start);
+        dispatcher.runOnEventLoop(discovery::start);
         agent.take().reply("200 OK", "{\"revision\":5,\"complete\":false,\"members\":["
             + Program.member("s-1", backend, "east", "SERVING") + "]}");
         agent.take().reply("503 Busy", "");
-        FakeServer.Exchange again = agent.take();
-        assertTrue(again.head.startsWith("GET /v1/servers?since=0&"), "what was not told comes again: " + again.head);
-        again.reply("200 OK", "{\"revision\":5,\"complete\":true,\"members\":["
+        FakeServer.Exchange nextWatch = agent.take();
+        assertTrue(nextWatch.head.startsWith("GET /v1/servers?since=0&"),
+            "the list that was not applied is requested again: " + nextWatch.head);
+        nextWatch.reply("200 OK", "{\"revision\":5,\"complete\":true,\"members\":["
             + Program.member("s-1", backend, "east", "SERVING") + "]}");
-        Await.until("the list", () -> parts.hasPolicyEvent("FULL 1"));
-        assertTrue(parts.hasPolicyEvent("FAILED 0"));
-        assertEquals(1, parts.metrics.get(Count.EXCEPTIONS));
+        Await.until("the list is applied", () -> dispatcher.hasPolicyEvent("FULL 1"));
+        assertTrue(dispatcher.hasPolicyEvent("FAILED 0"));
+        assertEquals(1, dispatcher.metrics.get(Count.EXCEPTIONS));
         agent.close();
     }
 
-    /** SIGHUP comes while half a list has been read, and again while nobody answers: what is left of the old ones is nobody's. */
+    /**
+     * SIGHUP changes the address of discovery when half a list has been read, and twice more while a call fails. The rest of the
+     * old response is dropped, and only one call is made.
+     */
     @Test void dropsPartialResponseAfterSwitchOfDiscovery() throws Exception {
-        FakeServer old = new FakeServer();
-        FakeServer next = new FakeServer();
-        DiscoveryClient discovery = new DiscoveryClient(parts.eventLoop, parts.deadlines, parts.clock, parts.metrics, parts.engine, parts.backendClient,
-            addressOf(old), BackendListCodec.decode("{\"revision\":4}"), List.of("east"), List.of("k"), null, null, false);
-        parts.runOnEventLoop(() -> {
+        FakeServer oldDiscovery = new FakeServer();
+        FakeServer newDiscovery = new FakeServer();
+        DiscoveryClient discovery = new DiscoveryClient(dispatcher.eventLoop, dispatcher.deadlines, dispatcher.clock,
+            dispatcher.metrics, dispatcher.engine, dispatcher.backendClient, addressOf(oldDiscovery),
+            BackendListCodec.decode("{\"revision\":4}"), List.of("east"), List.of("k"), null, null, false);
+        dispatcher.runOnEventLoop(() -> {
             discovery.start();
             discovery.watch();
         });
         String list = "{\"revision\":5,\"complete\":true,\"members\":[]}";
-        FakeServer.Exchange half = old.take();
-        half.send("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list.substring(0, 20));
-        parts.runOnEventLoop(() -> {
-            half.send(list.substring(20));
-            discovery.switchTo(addressOf(next));
+        FakeServer.Exchange partial = oldDiscovery.take();
+        partial.send("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list.substring(0, 20));
+        dispatcher.runOnEventLoop(() -> {
+            partial.send(list.substring(20));
+            discovery.switchTo(addressOf(newDiscovery));
         });
-        assertTrue(half.isClosedByClient());
-        FakeServer.Exchange call = next.take();
-        assertTrue(call.head.startsWith("GET /v1/servers?since=4&"), call.head);
-        call.reset();
-        Await.until("the failure", () -> parts.hasPolicyEvent("FAILED 0"));
-        parts.runOnEventLoop(() -> {
-            discovery.switchTo(addressOf(next));
-            discovery.switchTo(addressOf(next));
+        assertTrue(partial.isClosedByClient());
+        FakeServer.Exchange exchange = newDiscovery.take();
+        assertTrue(exchange.head.startsWith("GET /v1/servers?since=4&"), exchange.head);
+        exchange.reset();
+        Await.until("the call has failed", () -> dispatcher.hasPolicyEvent("FAILED 0"));
+        dispatcher.runOnEventLoop(() -> {
+            discovery.switchTo(addressOf(newDiscovery));
+            discovery.switchTo(addressOf(newDiscovery));
         });
-        next.take().reply("200 OK", list.replace("5", "6"));
-        assertTrue(next.take().head.startsWith("GET /v1/servers?since=6&"));
-        assertNull(next.poll(), "one call, however often it is told");
-        parts.runOnEventLoop(() -> assertEquals(List.of("CACHED 0", "FAILED 0", "FULL 0"), parts.policyEvents));
-        next.close();
-        old.close();
+        newDiscovery.take().reply("200 OK", list.replace("5", "6"));
+        assertTrue(newDiscovery.take().head.startsWith("GET /v1/servers?since=6&"));
+        assertNull(newDiscovery.poll(), "one call however often the address is set");
+        dispatcher.runOnEventLoop(() -> assertEquals(List.of("CACHED 0", "FAILED 0", "FULL 0"), dispatcher.policyEvents));
+        newDiscovery.close();
+        oldDiscovery.close();
     }
 
-    /** What a client sends ahead stays within a bound, and who goes beyond is told so. */
+    /** What a client may send ahead of its turn is bounded; beyond the bound it gets a 413. */
     @Test void answers413WhenTooMuchIsPipelined() throws Exception {
         client.send(Client.request("/preview", "5000m", "", ""));
-        parts.awaitRequest();
+        dispatcher.awaitRequest();
         Thread flood = new Thread(() -> {
             try {
                 client.send(Client.request("/preview", "5000m", "", "") + "x".repeat(3 << 20));
             } catch (IOException e) {
-                // it is cut off in the end
+                // expected: the program closes the connection
             }
         });
         flood.start();
         assertEquals(413, client.read().status());
         flood.join(TimeUnit.SECONDS.toMillis(FakeServer.TIMEOUT_SECONDS));
-        assertTrue(parts.hasPolicyEvent("gone"), "the request before it has ended with it");
-        Await.until("its end", () -> parts.clientConnections() == 0);
+        assertTrue(dispatcher.hasPolicyEvent("gone"), "the open request has ended as well");
+        Await.until("the connection is closed", () -> dispatcher.clientConnections() == 0);
     }
 }
--- a/src/test/java/badgermux/it/MisbehavingClientsIT.java
+++ b/src/test/java/badgermux/it/MisbehavingClientsIT.java
@@ -17,9 +17,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Clients that break the protocol get an error or a close soon, and nobody else suffers. */
+/** Checks that clients that break the protocol soon get an error or a close, and that other clients are served. */
 @Timeout(60)
 class MisbehavingClientsIT {
+    /** A valid header line in the notation of {@link #REJECTED_REQUESTS}. */
     private static final String ID_HEADER = "X-Request-ID: 00000000000000aa|";
 
     @TempDir private Path folder;
@@ -39,15 +40,20 @@
         backend.close();
     }
 
-    private void assertOthersAreServed(Program by) throws IOException, InterruptedException {
-        try (Client other = by.client().send(Client.request("/preview", "5000m", "", ""))) {
-            FakeServer.Exchange call = backend.take();
-            assertTrue(call.head.startsWith("POST /preview HTTP/1.1"), "something else came first: " + call.head);
-            call.sendResult("r");
+    /** Checks that another client is served, and that no other request has reached the backend before it. */
+    private void assertOthersAreServed(Program dispatcher) throws IOException, InterruptedException {
+        try (Client other = dispatcher.client().send(Client.request("/preview", "5000m", "", ""))) {
+            FakeServer.Exchange exchange = backend.take();
+            assertTrue(exchange.head.startsWith("POST /preview HTTP/1.1"), "another request came first: " + exchange.head);
+            exchange.sendResult("r");
             assertEquals(200, other.read().status());
         }
     }
 
+    /**
+     * Invalid requests, each with the expected status behind "~". "|" stands for CR LF, "@" for a header line with a valid id,
+     * "%" for LF, "^" for NUL; "HTTP/1.1|" gets a Host header, and "#" suppresses that.
+     */
     private static final String[] REJECTED_REQUESTS = {
         "POST /preview HTTP/1.1|Content-Length: 0||~400", "nonsense||~400", "<>?|~400",
         "POST /preview HTTP/1.1|X-Request-ID: |Content-Length: 0||~400",
@@ -76,53 +82,55 @@
         "POST /preview HTTP/1.1|@A : b||~400", "POST /preview HTTP/1.1|@A: b| folded: c||~400"};
 
     @Test void rejectsInvalidRequestsBeforeAnyBackend() throws IOException, InterruptedException {
-        for (String row : REJECTED_REQUESTS) {
-            String text = row.substring(0, row.length() - 4).replace("HTTP/1.1|", "HTTP/1.1|Host: h|").replace("#", "").replace("@", ID_HEADER).replace("|", "\r\n").replace('%', '\n')
-                .replace('^', '\0');
-            try (Client bad = program.client().send(text)) {
-                assertEquals(row.substring(row.length() - 3), String.valueOf(bad.read().status()), row);
-                assertTrue(bad.isClosedByServer(), row);
+        for (String testCase : REJECTED_REQUESTS) {
+            String text = testCase.substring(0, testCase.length() - 4).replace("HTTP/1.1|", "HTTP/1.1|Host: h|")
+                .replace("#", "").replace("@", ID_HEADER).replace("|", "\r\n").replace('%', '\n').replace('^', '\0');
+            try (Client invalidClient = program.client().send(text)) {
+                assertEquals(testCase.substring(testCase.length() - 3), String.valueOf(invalidClient.read().status()), testCase);
+                assertTrue(invalidClient.isClosedByServer(), testCase);
             }
-            assertNull(backend.poll(), row);
+            assertNull(backend.poll(), testCase);
         }
         assertOthersAreServed(program);
         assertEquals(REJECTED_REQUESTS.length, program.counterValue("bad_messages"));
     }
 
+    /** Closing a socket with unread input resets the connection, and the client would lose the error response. */
     @ParameterizedTest @ValueSource(strings = {"POST /preview HTTP/1.1\r\nA: ",
         "POST /preview HTTP/1.1\r\nX-Request-ID: 00000000000000aa\r\nContent-Length: 70000000\r\n\r\n"})
     void errorIsReadableWhenClientKeepsSending(String head) throws IOException, InterruptedException {
         client.send(head + "x".repeat(600_000));
         assertTrue(client.read().status() >= 400);
-        assertTrue(client.isClosedByServer(), "closed in order, not reset");
+        assertTrue(client.isClosedByServer(), "closed with FIN, not reset");
         assertOthersAreServed(program);
     }
 
     @Test void closesSilentAndHalfSentConnectionsInTime() throws IOException, InterruptedException {
-        long before = System.nanoTime();
-        Client half = program.client().send("POST /preview HTTP/1.1\r\nX-Requ");
-        Client cut = program.client().send(Client.request("/preview", "60000m", "", "abc").replace("abc", ""));
-        Client strange = program.client();
-        assertEquals(200, strange.get("/healthz").status());
-        assertTrue(client.isClosedByServer(), "one that says nothing");
-        assertTrue(strange.isClosedByServer(), "one that asks no more");
-        assertEquals(408, half.read().status());
-        assertEquals(408, cut.read().status());
-        assertTrue(half.isClosedByServer() && cut.isClosedByServer());
-        assertTrue(System.nanoTime() - before < 3_000_000_000L, "too late");
+        long startNanos = System.nanoTime();
+        Client partialHead = program.client().send("POST /preview HTTP/1.1\r\nX-Requ");
+        Client missingBody = program.client().send(Client.request("/preview", "60000m", "", "abc").replace("abc", ""));
+        Client idle = program.client();
+        assertEquals(200, idle.get("/healthz").status());
+        assertTrue(client.isClosedByServer(), "a client that sends nothing");
+        assertTrue(idle.isClosedByServer(), "a client that sends no further request");
+        assertEquals(408, partialHead.read().status());
+        assertEquals(408, missingBody.read().status());
+        assertTrue(partialHead.isClosedByServer() && missingBody.isClosedByServer());
+        assertTrue(System.nanoTime() - startNanos < 3_000_000_000L, "closed too late");
         assertNull(backend.poll());
         assertOthersAreServed(program);
     }
 
+    /** A second client with the id of an open request is rejected, and the owner of the id may use it again after its answer. */
     @Test void rejectsIdInUseAndFreesItAfterAnswer() throws IOException, InterruptedException {
         String request = Client.request("/preview", "5000m", "", "");
         client.send(request);
-        FakeServer.Exchange call = backend.take();
-        try (Client thief = program.client().send(request)) {
-            assertEquals(409, thief.read().status());
-            assertTrue(thief.isClosedByServer());
+        FakeServer.Exchange exchange = backend.take();
+        try (Client intruder = program.client().send(request)) {
+            assertEquals(409, intruder.read().status());
+            assertTrue(intruder.isClosedByServer());
         }
-        call.sendResult("mine");
+        exchange.sendResult("mine");
         assertEquals("mine", client.read().body());
         client.send(request);
         backend.take().sendResult("again");
@@ -131,35 +139,37 @@
     }
 
     @ParameterizedTest @ValueSource(strings = {"rubbish", "GET /\0", "POST /preview HTTP/1.1\r\nContent-Length: x\r\n\r\n"})
-    void rejectsGarbageBehindOpenRequestAtOnce(String behind) throws IOException, InterruptedException {
+    void rejectsGarbageBehindOpenRequestAtOnce(String garbage) throws IOException, InterruptedException {
         client.send(Client.request("/preview", "60000m", "", ""));
-        FakeServer.Exchange call = backend.take().sendStarted();
-        assertEquals(400, client.send(behind).read().status());
+        FakeServer.Exchange exchange = backend.take().sendStarted();
+        assertEquals(400, client.send(garbage).read().status());
         assertTrue(client.isClosedByServer());
-        assertTrue(call.isClosedByClient(), "its fetch is given up");
+        assertTrue(exchange.isClosedByClient(), "the attempt is cancelled");
         assertOthersAreServed(program);
     }
 
+    /** A client timeout of an hour is cut to the timeout of its class. */
     @Test void boundsClientTimeoutByClassTimeout() throws IOException, InterruptedException {
         client.send(Client.request("/preview", "3600000m", "", ""));
-        int told = Integer.parseInt(backend.take().header("X-Timeout").replace("m", ""));
-        assertTrue(told <= 5000, "its class gives up sooner than " + told);
+        int timeoutMillis = Integer.parseInt(backend.take().header("X-Timeout").replace("m", ""));
+        assertTrue(timeoutMillis <= 5000, "longer than the timeout of its class: " + timeoutMillis);
         client.close();
         assertOthersAreServed(program);
     }
 
     @Test void evictsSilentConnectionsForNewClients() throws IOException, InterruptedException {
-        int all = 46 + 16;  // what 128 descriptors leave for clients, and some over
+        int clientCount = 46 + 16;  // the limit on clients with 128 descriptors, and a margin
         try (Program small = new Program(folder, member("s-1", backend, "east", "SERVING"), 128, Program.SETTINGS)) {
-            List<Client> silent = new ArrayList<>();
-            for (int i = 0; i < 2 * all; i++) {
-                silent.add(small.client());
+            List<Client> silentClients = new ArrayList<>();
+            for (int i = 0; i < 2 * clientCount; i++) {
+                silentClients.add(small.client());
             }
-            long before = System.nanoTime();
+            long startNanos = System.nanoTime();
             assertOthersAreServed(small);
-            assertTrue(System.nanoTime() - before < 1_500_000_000L, "not before the silent ones run out of time");
-            for (Client quiet : silent) {
-                assertTrue(quiet.isClosedByServer());
+            assertTrue(System.nanoTime() - startNanos < 1_500_000_000L,
+                "served too late: silent clients have to be evicted before they time out");
+            for (Client silentClient : silentClients) {
+                assertTrue(silentClient.isClosedByServer());
             }
         }
     }
--- a/src/test/java/badgermux/it/ServeIT.java
+++ b/src/test/java/badgermux/it/ServeIT.java
@@ -22,7 +22,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The real program between a client, backends and a discovery service that the test plays. */
+/**
+ * Runs the packaged program as a process between a test client, fake backends and a fake discovery service, and checks
+ * how it forwards, retries, refuses and fails requests.
+ */
 @Timeout(60)
 class ServeIT {
     @TempDir private Path folder;
@@ -42,6 +45,7 @@
         backend.close();
     }
 
+    /** Sends one request on the shared client and has the backend serve it. */
     private void serveOneRequest() throws IOException, InterruptedException {
         client.send(Client.request("/preview", "5000m", "", ""));
         backend.take().sendResult("r");
@@ -51,17 +55,17 @@
     @Test void forwardsRequestUnchangedAndReturnsResult() throws IOException, InterruptedException {
         client.send(Client.request("/publish/a%20b?q=1&r=\u00e9", "3000m",
             "Idempotency-Key: k9\r\nX-Unknown:  kept \u00e9 \r\nX-Attrs: slots=2\r\n", "body\0\u00e9"));
-        FakeServer.Exchange call = backend.take();
-        assertTrue(call.head.startsWith("POST /publish/a%20b?q=1&r=\u00e9 HTTP/1.1\r\n"), call.head);
-        assertTrue(call.head.contains("X-Unknown:  kept \u00e9 \r\n"), call.head);
-        assertEquals("k9", call.header("Idempotency-Key"));
-        assertTrue(call.header("X-Request-ID").startsWith("9b1f03aa5c7e"));
-        int timeout = Integer.parseInt(call.header("X-Timeout").replace("m", ""));
+        FakeServer.Exchange exchange = backend.take();
+        assertTrue(exchange.head.startsWith("POST /publish/a%20b?q=1&r=\u00e9 HTTP/1.1\r\n"), exchange.head);
+        assertTrue(exchange.head.contains("X-Unknown:  kept \u00e9 \r\n"), exchange.head);
+        assertEquals("k9", exchange.header("Idempotency-Key"));
+        assertTrue(exchange.header("X-Request-ID").startsWith("9b1f03aa5c7e"));
+        int timeout = Integer.parseInt(exchange.header("X-Timeout").replace("m", ""));
         assertTrue(timeout < 3000 && timeout > 1000, "X-Timeout " + timeout);
-        call.sendResult("q\\\"\u00e9");
-        Client.Response answer = client.read();
-        assertEquals(200, answer.status());
-        assertEquals("q\"\u00e9", answer.body());
+        exchange.sendResult("q\\\"\u00e9");
+        Client.Response response = client.read();
+        assertEquals(200, response.status());
+        assertEquals("q\"\u00e9", response.body());
     }
 
     @Test void reusesConnections() throws IOException, InterruptedException {
@@ -73,20 +77,21 @@
         assertEquals(404, client.get("/other").status());
     }
 
+    /** The result line ends the request; the program does not wait for the last chunk of the response. */
     @Test void returnsResultBeforeBackendResponseEnds() throws IOException, InterruptedException {
         client.send(Client.request("/preview", "5000m", "", ""));
-        FakeServer.Exchange call = backend.take().sendStarted().sendLine("done", ",\"result\":\"early\"");
+        FakeServer.Exchange exchange = backend.take().sendStarted().sendLine("done", ",\"result\":\"early\"");
         assertEquals("early", client.read().body());
-        assertTrue(call.isClosedByClient(), "a response that does not end is cut off");
+        assertTrue(exchange.isClosedByClient(), "the connection of a response that does not end is closed");
     }
 
     @Test void servesSplitAndPipelinedRequestsInOrder() throws IOException, InterruptedException {
         for (char c : Client.request("/preview", "5000m", "", "xyz").toCharArray()) {
             client.send(String.valueOf(c));
         }
-        FakeServer.Exchange call = backend.take();
-        assertEquals("xyz", call.body);
-        call.sendResult("1");
+        FakeServer.Exchange exchange = backend.take();
+        assertEquals("xyz", exchange.body);
+        exchange.sendResult("1");
         assertEquals("1", client.read().body());
         client.send(Client.request("/preview", "5000m", "", "") + Client.request("/preview", "5000m", "", ""));
         backend.take().sendResult("2");
@@ -95,25 +100,34 @@
         assertEquals("3", client.read().body());
     }
 
+    /** A class with the effect "once" must not be sent again after the backend has started it. */
     @ParameterizedTest @CsvSource({"failed, errors", "lost, resets"})
-    void doesNotRetryOnceRequestThatMayHaveRun(String state, String what) throws IOException, InterruptedException {
+    void doesNotRetryOnceRequestThatMayHaveRun(String state, String description) throws IOException, InterruptedException {
         client.send(Client.request("/pay", "5000m", "", ""));
         backend.take().sendStarted().sendLine(state, "").endResponse();
-        assertEquals(500, client.read().status(), what);
+        assertEquals(500, client.read().status(), description);
         assertNull(backend.poll());
     }
 
+    /**
+     * These statuses do not prove that the request never ran, so a request that may run once fails without a second attempt
+     * and without Retry-After.
+     */
     @ParameterizedTest @ValueSource(strings = {"500 Error", "503 Busy", "504 Late", "404 Unknown",
         "503 Busy\r\nX-Not-Processed: 0", "200 OK"})
     void failsOnceRequestOnInconclusiveStatus(String status) throws IOException, InterruptedException {
         client.send(Client.request("/pay", "5000m", "", ""));
         backend.take().reply(status, "");
-        Client.Response answer = client.read();
-        assertEquals(500, answer.status());
-        assertNull(answer.header("Retry-After"));
+        Client.Response response = client.read();
+        assertEquals(500, response.status());
+        assertNull(response.header("Retry-After"));
         assertNull(backend.poll());
     }
 
+    /**
+     * A reset of a reused idle connection does not prove that the backend never read the request, so a request that may run
+     * once is not sent again.
+     */
     @Test void doesNotRetryOnceRequestAfterReusedConnectionIsReset() throws IOException, InterruptedException {
         serveOneRequest();
         client.send(Client.request("/pay", "5000m", "", ""));
@@ -129,6 +143,7 @@
         assertEquals(500, client.read().status());
     }
 
+    /** X-Not-Processed: 1 proves that the request never ran, so it is sent again up to the limit of three attempts. */
     @ParameterizedTest @ValueSource(strings = {"503 Busy\r\nX-Not-Processed: 1", "504 Late\r\nX-Not-Processed: 1"})
     void retriesUnprocessedRequestThenRefusesWithRetryAfter(String status) throws IOException, InterruptedException {
         serveOneRequest();
@@ -136,34 +151,34 @@
         for (int i = 0; i < 3; i++) {
             backend.take().reply(status, "");
         }
-        Client.Response answer = client.read();
-        assertEquals(503, answer.status());
-        double advice = Double.parseDouble(answer.header("Retry-After"));
-        assertTrue(advice > 0 && advice <= 2, answer.head());
+        Client.Response response = client.read();
+        assertEquals(503, response.status());
+        double retryAfterSeconds = Double.parseDouble(response.header("Retry-After"));
+        assertTrue(retryAfterSeconds > 0 && retryAfterSeconds <= 2, response.head());
     }
 
     @Test void refusesWithoutRetryAfterWhenOnlyBackendIsDown() throws IOException {
         backend.close();
-        Client.Response answer = client.post("/pay");
-        assertEquals(503, answer.status());
-        assertNull(answer.header("Retry-After"));
+        Client.Response response = client.post("/pay");
+        assertEquals(503, response.status());
+        assertNull(response.header("Retry-After"));
     }
 
     @Test void answers504BeforeClientTimeoutWhenBackendIsSilent() throws IOException, InterruptedException {
-        long before = System.nanoTime();
+        long startNanos = System.nanoTime();
         client.send(Client.request("/pay", "500m", "", ""));
-        FakeServer.Exchange call = backend.take();
+        FakeServer.Exchange exchange = backend.take();
         assertEquals(504, client.read().status());
-        // EngineTest has the deadline to the microsecond; a busy machine may delay this one.
-        assertTrue(System.nanoTime() - before < 1_500_000_000L, "too late");
-        assertTrue(call.isClosedByClient());
+        // EngineTest checks the deadline to the microsecond; the margin here allows for a busy machine.
+        assertTrue(System.nanoTime() - startNanos < 1_500_000_000L, "answered too late");
+        assertTrue(exchange.isClosedByClient());
     }
 
     @Test void cancelsAttemptWhenClientDisconnects() throws IOException, InterruptedException {
         client.send(Client.request("/preview", "5000m", "", ""));
-        FakeServer.Exchange call = backend.take().sendStarted();
+        FakeServer.Exchange exchange = backend.take().sendStarted();
         client.close();
-        assertTrue(call.isClosedByClient());
+        assertTrue(exchange.isClosedByClient());
         assertEquals(1, program.counterValue("clients_gone"));
     }
 
@@ -185,9 +200,9 @@
 
     @Test void keepsListAndWatchesAgainAfterFailedWatch() throws IOException, InterruptedException {
         program.discovery.take().reply("503 Busy", "");
-        FakeServer.Exchange again = program.discovery.take();
-        assertTrue(again.head.startsWith("GET /v1/servers?since=1&"), again.head);
-        again.reset();
+        FakeServer.Exchange nextWatch = program.discovery.take();
+        assertTrue(nextWatch.head.startsWith("GET /v1/servers?since=1&"), nextWatch.head);
+        nextWatch.reset();
         serveOneRequest();
         program.discovery.take().reply("200 OK", "no list");
         program.discovery.take();
@@ -195,6 +210,10 @@
         assertEquals(3, program.counterValue("director_failures"));
     }
 
+    /**
+     * The zones deduplicate keys separately, so a keyed request that may have run is sent again only in the zone of its first
+     * attempt, unchanged and with the same key.
+     */
     @Test void retriesKeyedRequestInSameZoneWithSameKey() throws IOException, InterruptedException {
         FakeServer west = new FakeServer();
         program.discovery.take().reply("200 OK", "{\"revision\":2,\"complete\":false,\"members\":["
@@ -203,14 +222,14 @@
         for (int i = 0; i < 4; i++) {
             client.send(Client.request("/publish?x=1", "5000m", "Idempotency-Key: key-" + i + "\r\n", "text"));
             FakeServer.Exchange first = null;
-            FakeServer at = null;
+            FakeServer target = null;
             while (first == null) {
-                at = at == backend ? west : backend;
-                first = at.poll();
+                target = target == backend ? west : backend;
+                first = target.poll();
                 Thread.onSpinWait();
             }
             first.reset();
-            FakeServer.Exchange second = at.take();
+            FakeServer.Exchange second = target.take();
             assertEquals(first.header("Idempotency-Key"), second.header("Idempotency-Key"));
             assertEquals(first.header("X-Request-ID"), second.header("X-Request-ID"));
             assertEquals(first.head.lines().findFirst(), second.head.lines().findFirst());
@@ -223,25 +242,25 @@
     @Test void forwardsBodyOfMaximumLength() throws IOException, InterruptedException {
         String body = "x".repeat(65_536);
         client.send(Client.request("/preview", "5000m", "", body));
-        FakeServer.Exchange call = backend.take();
-        assertEquals(body, call.body);
-        call.sendResult("y".repeat(60_000));
+        FakeServer.Exchange exchange = backend.take();
+        assertEquals(body, exchange.body);
+        exchange.sendResult("y".repeat(60_000));
         assertEquals(60_000, client.read().body().length());
     }
 
     @Test void answersAllAcceptedRequestsAfterSigterm() throws IOException, InterruptedException {
-        Client resting = program.client();
-        assertEquals(200, resting.get("/healthz").status());
+        Client idle = program.client();
+        assertEquals(200, idle.get("/healthz").status());
         client.send(Client.request("/preview", "5000m", "", ""));
         FakeServer.Exchange inFlight = backend.take();
-        program.process.toHandle().destroy();   // Process.destroy would close its output, too
-        assertTrue(resting.isClosedByServer(), "connections between reqs are closed");
-        Client during = program.client();
-        during.send(Client.request("/preview", "5000m", "", ""));
+        program.process.toHandle().destroy();   // Process.destroy would also close the stream of its output
+        assertTrue(idle.isClosedByServer(), "idle connections are closed");
+        Client lateClient = program.client();
+        lateClient.send(Client.request("/preview", "5000m", "", ""));
         backend.take().sendResult("during");
-        Client.Response answer = during.read();
-        assertEquals("during", answer.body());
-        assertEquals("close", answer.header("Connection"));
+        Client.Response response = lateClient.read();
+        assertEquals("during", response.body());
+        assertEquals("close", response.header("Connection"));
         assertEquals(503, program.client().get("/healthz").status());
         assertTrue(program.process.isAlive());
         inFlight.sendResult("late");
@@ -250,42 +269,46 @@
         assertFalse(program.process.isAlive());
     }
 
+    /**
+     * A client may send on an idle connection before it learns of the shutdown; such a request is served, and the response
+     * closes the connection.
+     */
     @Test void servesRequestsOnOpenConnectionsBrieflyAfterSigterm() throws IOException, InterruptedException {
         serveOneRequest();
         program.process.toHandle().destroy();
-        try (Client asker = program.client()) {
-            while (asker.get("/healthz").status() == 200) {
+        try (Client healthClient = program.client()) {
+            while (healthClient.get("/healthz").status() == 200) {
                 Thread.onSpinWait();
             }
         }
         client.send(Client.request("/preview", "5000m", "", ""));
-        FakeServer.Exchange call = backend.take();
-        call.sendResult("kept");
-        Client.Response answer = client.read();
-        assertEquals("kept", answer.body());
-        assertEquals("close", answer.header("Connection"));
+        FakeServer.Exchange exchange = backend.take();
+        exchange.sendResult("kept");
+        Client.Response response = client.read();
+        assertEquals("kept", response.body());
+        assertEquals("close", response.header("Connection"));
     }
 
     @Test void atConnectionLimitClosesIdleConnectionsFirstAndRefusesRequests() throws IOException, InterruptedException {
-        int cap = 46;   // what 128 descriptors leave for clients
+        int clientLimit = 46;   // the share of 128 descriptors that is reserved for clients
         try (Program small = new Program(folder, member("s-1", backend, "east", "SERVING"), 128, Program.SETTINGS)) {
-            Client resting = small.client().send(Client.request("/preview", "5000m", "", ""));
+            Client idle = small.client().send(Client.request("/preview", "5000m", "", ""));
             backend.take().sendResult("r");
-            assertEquals(200, resting.read().status());
+            assertEquals(200, idle.read().status());
             small.discovery.take().reply("200 OK", "{\"revision\":2,\"complete\":true,\"members\":[]}");
             small.discovery.take();
             List<Client> clients = new ArrayList<>();
-            for (int i = 0; i < cap; i++) {     // without a backend the module holds them
+            for (int i = 0; i < clientLimit; i++) {     // without a backend the requests are held
                 clients.add(small.client().send(Client.request("/preview", "5000m", "", "")));
             }
-            assertTrue(resting.isClosedByServer(), "the one that rests is closed");
-            while (small.counterValue("current") < cap) {
+            assertTrue(idle.isClosedByServer(), "the idle connection is closed");
+            while (small.counterValue("current") < clientLimit) {
                 Thread.onSpinWait();
             }
-            Client.Response over = small.client().post("/preview");
-            assertEquals(503, over.status());
-            assertEquals("close", over.header("Connection"));
-            assertEquals("0.500", over.header("Retry-After"));
+            Client.Response refused = small.client().post("/preview");
+            assertEquals(503, refused.status());
+            assertEquals("close", refused.header("Connection"));
+            assertEquals("0.500", refused.header("Retry-After"));
         }
     }
 
@@ -299,18 +322,19 @@
         assertEquals(0, program.counterValue("fetches_error"));
     }
 
+    /** At the limit the request is refused; this does not count as a failed connect of the backend. */
     @Test void doesNotBlameBackendWhenConnectionLimitIsReached() throws IOException, InterruptedException {
-        int spared = 44;    // what 128 descriptors leave for backends
+        int backendLimit = 44;    // the share of 128 descriptors that is reserved for backends
         try (Program small = new Program(folder, member("s-1", backend, "east", "SERVING"), 128, Program.SETTINGS)) {
             List<Client> clients = new ArrayList<>();
-            List<FakeServer.Exchange> calls = new ArrayList<>();
-            for (int i = 0; i < spared; i++) {
+            List<FakeServer.Exchange> exchanges = new ArrayList<>();
+            for (int i = 0; i < backendLimit; i++) {
                 clients.add(small.client().send(Client.request("/preview", "5000m", "", "")));
-                calls.add(backend.take());
+                exchanges.add(backend.take());
             }
             assertEquals(503, small.client().post("/pay").status());
             assertEquals(0, small.counterValue("fetches_connect_failed"));
-            calls.get(0).sendResult("r");
+            exchanges.get(0).sendResult("r");
             assertEquals(200, clients.get(0).read().status());
             clients.get(0).send(Client.request("/preview", "5000m", "", ""));
             backend.take().sendResult("again");
@@ -318,35 +342,36 @@
         }
     }
 
+    /** A request waits for the load report of its candidate, but only for a bounded time when the probe gets no response. */
     @Test void probesCandidatesAndBoundsWaitForReport() throws IOException, InterruptedException {
-        String probing = Program.SETTINGS.replace("\"silent\"", "\"pull\"")
+        String settings = Program.SETTINGS.replace("\"silent\"", "\"pull\"")
             .replace("\"Cancel\"", "\"Probes\":true,\"Cancel\"");
-        try (Program asking = new Program(folder, member("s-1", backend, "east", "SERVING"), 1024, probing);
-                Client asker = asking.client()) {
-            asker.send(Client.request("/pay", "5000m", "", ""));
+        try (Program probingProgram = new Program(folder, member("s-1", backend, "east", "SERVING"), 1024, settings);
+                Client probingClient = probingProgram.client()) {
+            probingClient.send(Client.request("/pay", "5000m", "", ""));
             FakeServer.Exchange probe = backend.take();
             assertTrue(probe.head.startsWith("GET /load HTTP/1.1\r\n"), probe.head);
-            assertNull(backend.poll(), "the req waits for the report");
+            assertNull(backend.poll(), "the request waits for the report");
             probe.reply("200 OK", "TEXT x0=3.841, x1=3.776, recent_ms=0, throughput=0");
             backend.take().sendResult("1");
-            assertEquals("1", asker.read().body());
-            assertEquals(1, asking.counterValue("backend_connects"), "the probe's connection serves the req");
-            asker.send(Client.request("/pay", "5000m", "", ""));
-            FakeServer.Exchange next = backend.take();
-            while (!next.head.startsWith("GET /load")) {    // within a tenth of a second the report is new enough
-                next.sendResult("2");
-                assertEquals("2", asker.read().body());
-                asker.send(Client.request("/pay", "5000m", "", ""));
-                next = backend.take();
+            assertEquals("1", probingClient.read().body());
+            assertEquals(1, probingProgram.counterValue("backend_connects"), "the request uses the connection of the probe");
+            probingClient.send(Client.request("/pay", "5000m", "", ""));
+            FakeServer.Exchange second = backend.take();
+            while (!second.head.startsWith("GET /load")) {    // a report is fresh enough for 0.1 s
+                second.sendResult("2");
+                assertEquals("2", probingClient.read().body());
+                probingClient.send(Client.request("/pay", "5000m", "", ""));
+                second = backend.take();
             }
             FakeServer.Exchange attempt = backend.take();
-            while (!attempt.head.startsWith("POST")) {    // it is probed again when the request goes
+            while (!attempt.head.startsWith("POST")) {    // the backend is probed again when the request is sent
                 attempt = backend.take();
             }
-            assertTrue(next.isClosedByClient(), "a silent probe is given up");
+            assertTrue(second.isClosedByClient(), "the connection of an unanswered probe is closed");
             attempt.sendResult("3");
-            assertEquals("3", asker.read().body());
-            assertEquals(1, asking.counterValue("probes_answered"));
+            assertEquals("3", probingClient.read().body());
+            assertEquals(1, probingProgram.counterValue("probes_answered"));
         }
     }
 
@@ -360,16 +385,17 @@
         assertEquals(2, program.counterValue("fetches_reset"));
     }
 
+    /** The limit on the total size of the bodies of open requests is reached by 96 bodies of the maximum length. */
     @Test void refusesRequestWhenTotalBodyLimitIsReached() throws IOException, InterruptedException {
         String body = "x".repeat(65_536);
-        List<FakeServer.Exchange> calls = new ArrayList<>();
+        List<FakeServer.Exchange> exchanges = new ArrayList<>();
         List<Client> clients = new ArrayList<>();
         for (int i = 0; i < 96 / 16 * 16; i++) {
             clients.add(program.client().send(Client.request("/preview", "5000m", "", body)));
-            calls.add(backend.take());
+            exchanges.add(backend.take());
         }
         assertEquals(503, client.send(Client.request("/preview", "5000m", "", body)).read().status());
-        calls.get(0).sendResult("r");
+        exchanges.get(0).sendResult("r");
         assertEquals(200, clients.get(0).read().status());
         client.send(Client.request("/preview", "5000m", "", body));
         backend.take().sendResult("r");
@@ -388,9 +414,9 @@
         }
         client.send(all.toString());
         for (int i = 0; i < 8; i++) {
-            FakeServer.Exchange call = backend.take();
-            assertTrue(call.head.startsWith("POST /preview?" + i + ' '), call.head);
-            call.sendResult(String.valueOf(i));
+            FakeServer.Exchange exchange = backend.take();
+            assertTrue(exchange.head.startsWith("POST /preview?" + i + ' '), exchange.head);
+            exchange.sendResult(String.valueOf(i));
             assertEquals(String.valueOf(i), client.read().body());
         }
     }
@@ -409,7 +435,10 @@
         assertEquals(3, program.counterValue("director_entries_skipped"));
     }
 
-    /** With on in place of auto, the program does not start at all where the archive is missing or does not fit. */
+    /**
+     * With -Xshare:auto the program starts without the class data archive if that is missing or does not fit, only slower.
+     * With -Xshare:on it would not start.
+     */
     @Test void startsFromClassDataArchive() throws IOException {
         String command = Program.runCommand();
         assertTrue(command.contains("-Xshare:auto -XX:SharedArchiveFile="), command);
@@ -419,36 +448,39 @@
             while (line != null && !line.contains("listens on")) {
                 line = archived.readLogLine();
             }
-            assertNotNull(line, "it did not start");
+            assertNotNull(line, "the program did not start");
         }
     }
 
     @Test void reportsInvalidConfigurationInOneLine() throws IOException, InterruptedException {
         Path config = Files.writeString(folder.resolve("bad.json"), "{\"settings\":"
             + Program.SETTINGS.replace("\"once\"", "\"twice\"") + "}");
-        try (Program bad = new Program(config)) {
-            String line = bad.readLogLine();
+        try (Program invalid = new Program(config)) {
+            String line = invalid.readLogLine();
             assertNotNull(line);
             assertTrue(line.startsWith("badgermux: ") && line.contains("RequestClasses.1.Effect"), line);
-            assertNull(bad.readLogLine());
-            assertTrue(bad.process.waitFor(FakeServer.TIMEOUT_SECONDS, TimeUnit.SECONDS));
-            assertEquals(2, bad.process.exitValue());
+            assertNull(invalid.readLogLine());
+            assertTrue(invalid.process.waitFor(FakeServer.TIMEOUT_SECONDS, TimeUnit.SECONDS));
+            assertEquals(2, invalid.process.exitValue());
         }
     }
 
-    /** SIGKILL follows 3.7 s behind SIGTERM: whoever would be cut off by it is told what is known of the job. */
+    /**
+     * SIGKILL follows 3.7 s after SIGTERM. Requests that are still open shortly before get a final answer: a refusal if a
+     * client retry is harmless, a failure if the request may have run.
+     */
     @Test void answersOpenRequestsBeforeSigkill() throws IOException, InterruptedException {
-        try (Client pays = program.client()) {
+        try (Client payClient = program.client()) {
             client.send(Client.request("/preview", "5000m", "", ""));
             backend.take().sendStarted();
-            pays.send(Client.request("/pay", "5000m", "", ""));
+            payClient.send(Client.request("/pay", "5000m", "", ""));
             backend.take().sendStarted();
-            long before = System.nanoTime();
+            long startNanos = System.nanoTime();
             program.process.toHandle().destroy();
-            assertEquals(503, client.read().status(), "asking again is harmless");
-            assertEquals(500, pays.read().status(), "it may have run");
-            long millis = (System.nanoTime() - before) / 1_000_000;
-            assertTrue(millis > 3_000 && millis < 3_700, "after " + millis);
+            assertEquals(503, client.read().status(), "a client retry is harmless");
+            assertEquals(500, payClient.read().status(), "the request may have run");
+            long millis = (System.nanoTime() - startNanos) / 1_000_000;
+            assertTrue(millis > 3_000 && millis < 3_700, "answered " + millis + " ms after SIGTERM");
             assertTrue(program.awaitOutput().contains("badgermux_reqs_taken 2\n"));
         }
     }
--- a/src/test/java/badgermux/it/ShutdownEdgeCasesIT.java
+++ b/src/test/java/badgermux/it/ShutdownEdgeCasesIT.java
@@ -19,7 +19,10 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The real program at its end, with clients that leave, runners that answer twice, and a log that nobody reads. */
+/**
+ * Runs the packaged program through edge cases of shutdown, of clients that disconnect, of duplicate responses and of
+ * exhausted resources: a full log pipe and no free file descriptor.
+ */
 @Timeout(60)
 class ShutdownEdgeCasesIT {
     @TempDir private Path folder;
@@ -41,27 +44,34 @@
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
     }
 
-    /** Where all deadlines are 2 s SIGKILL may come after 2.7 s: at 3.3 s it had come. */
+    /**
+     * Where all deadlines are 2 s, SIGKILL may come 2.7 s after SIGTERM. Final answers after 3.3 s, as for longer deadlines,
+     * would be too late.
+     */
     @Test void finalAnswersComeEarlierWhenAllDeadlinesAreShort() throws IOException, InterruptedException {
         String settings = Program.SETTINGS.replace("5000", "2000").replace("4000", "1500");
         try (Program program = startProgram(settings); Client open = program.client()) {
             open.send(Client.request("/preview", "2000m", "", ""));
             backend.take().sendStarted();
-            long term = System.nanoTime();
+            long sigtermNanos = System.nanoTime();
             program.process.toHandle().destroy();
-            Await.until("a time whose own 2 s end behind the kill", () -> millisSince(term) >= 1_000);
-            try (Client fresh = program.client()) {
-                fresh.send(Client.request("/preview", "2000m", "", ""));
+            Await.until("a time from which a deadline of 2 s ends after SIGKILL", () -> millisSince(sigtermNanos) >= 1_000);
+            try (Client lateClient = program.client()) {
+                lateClient.send(Client.request("/preview", "2000m", "", ""));
                 backend.take().sendStarted();
                 assertEquals(503, open.read().status());
-                assertEquals(503, fresh.read().status(), "asking again is harmless");
+                assertEquals(503, lateClient.read().status(), "a client retry is harmless");
             }
-            long answered = millisSince(term);
-            assertTrue(answered > 2_150 && answered < 2_650, "before its own time, and before the kill at 2.7 s: " + answered);
+            long answeredMillis = millisSince(sigtermNanos);
+            assertTrue(answeredMillis > 2_150 && answeredMillis < 2_650,
+                "before the deadline of the late request and before SIGKILL at 2.7 s: " + answeredMillis);
         }
     }
 
-    /** While a client that was answered last has not closed, others still get in; nothing of theirs may be begun. */
+    /**
+     * After the final answers, connections are still accepted until the answered clients have closed. Requests on them are
+     * refused and not sent to a backend.
+     */
     @Test void refusesRequestsAfterFinalAnswers() throws IOException, InterruptedException {
         try (Program program = startProgram(Program.SETTINGS)) {
             try (Client open = program.client()) {
@@ -69,8 +79,8 @@
                 backend.take().sendStarted();
                 program.process.toHandle().destroy();
                 assertEquals(503, open.read().status());
-                try (Client late = program.client()) {
-                    assertEquals(503, late.send(Client.request("/preview", "5000m", "", "")).read().status());
+                try (Client lateClient = program.client()) {
+                    assertEquals(503, lateClient.send(Client.request("/preview", "5000m", "", "")).read().status());
                 }
             }
             assertTrue(program.awaitOutput().contains("badgermux_reqs_taken 1\n"));
@@ -78,39 +88,48 @@
         }
     }
 
-    /** Half a request at the end of the changeover is told so: a bare close would lose what crosses it. */
+    /**
+     * A client whose request is incomplete at shutdown gets a refusal: if the connection were only closed, input that is on
+     * the way would reset it, and the client would not learn the outcome.
+     */
     @Test void refusesHalfReceivedRequestAtShutdown() throws IOException, InterruptedException {
-        try (Program program = startProgram(Program.SETTINGS); Client half = program.client()) {
-            half.send("POST /preview HTTP/1.1\r\nHost: x\r\n");
-            Await.until("its beginning has been read", () -> program.counterValue("client_connections") >= 2);
+        try (Program program = startProgram(Program.SETTINGS); Client partial = program.client()) {
+            partial.send("POST /preview HTTP/1.1\r\nHost: x\r\n");
+            Await.until("the beginning of the request has been read", () -> program.counterValue("client_connections") >= 2);
             program.process.toHandle().destroy();
-            half.send("A: b\r\n");
-            assertEquals(503, half.read().status());
-            assertTrue(half.isClosedByServer());
+            partial.send("A: b\r\n");
+            assertEquals(503, partial.read().status());
+            assertTrue(partial.isClosedByServer());
             assertTrue(program.awaitOutput().contains("badgermux_reqs_taken 0\n"));
         }
     }
 
-    /** Reading was off behind 16 KiB that were sent ahead: the leave that lay behind them went unseen. */
+    /**
+     * The program stops reading behind 16 KiB of pipelined input. It must still see that the client closes the connection behind
+     * that input.
+     */
     @Test void detectsDisconnectBehindPipelinedInput() throws IOException, InterruptedException {
         try (Program program = startProgram(Program.SETTINGS)) {
-            FakeServer.Exchange call;
-            long before = System.nanoTime();
+            FakeServer.Exchange exchange;
+            long startNanos = System.nanoTime();
             try (Client client = program.client()) {
                 client.send(Client.request("/preview", "5000m", "", ""));
-                call = backend.take().sendStarted();
+                exchange = backend.take().sendStarted();
                 for (int i = 0; i < 4; i++) {
                     client.send(Client.request("/preview", "5000m", "", "x".repeat(60_000)));
                 }
             }
-            assertTrue(call.isClosedByClient(), "its attempt is given up");
-            assertTrue(millisSince(before) < 3_000, "at once, and not when its time is over");
-            Await.until("its leave", () -> program.counterValue("clients_gone") == 1);
+            assertTrue(exchange.isClosedByClient(), "the attempt is cancelled");
+            assertTrue(millisSince(startNanos) < 3_000, "at once, not at the deadline");
+            Await.until("the client is counted as gone", () -> program.counterValue("clients_gone") == 1);
             assertEquals(0, program.counterValue("bad_messages"));
         }
     }
 
-    /** A second "not processed" had the next request on that connection sent again while its runner ran it. */
+    /**
+     * A response without an id belongs to the request that is open on its connection. A duplicate "not processed" on a reused
+     * connection would make the next request there run twice.
+     */
     @Test void duplicateResponseWithoutIdDoesNotEndNextRequest() throws IOException, InterruptedException {
         try (Program program = startProgram(Program.SETTINGS); Client client = program.client()) {
             client.send(Client.request("/pay", "5000m", "", ""));
@@ -120,36 +139,39 @@
             try {
                 first.reply("503 Busy\r\nX-Not-Processed: 1", "");
             } catch (IOException e) {
-                assertTrue(first.isClosedByClient(), "its connection is not used again");
+                assertTrue(first.isClosedByClient(), "the connection is not reused");
             }
-            assertTrue(first.isClosedByClient(), "its connection is not used again");
+            assertTrue(first.isClosedByClient(), "the connection is not reused");
             second.sendResult("ran once");
             assertEquals("ran once", client.read().body());
             assertNull(backend.poll());
         }
     }
 
-    /** The event loop wrote the log: with its pipe full it stood still, and with it all clients. */
+    /**
+     * Nobody reads the pipe that the log is written to. If the event loop wrote the log itself, it would block once the pipe
+     * is full, and with it all clients.
+     */
     @Test void servesAndExitsWhileLogPipeIsFull() throws IOException, InterruptedException {
-        String many = IntStream.range(0, 1_500).mapToObj(i -> member("runner-of-a-long-name-" + i, backend, "west", "SERVING"))
-            .collect(Collectors.joining(","));
+        String members = IntStream.range(0, 1_500)
+            .mapToObj(i -> member("backend-of-a-long-name-" + i, backend, "west", "SERVING")).collect(Collectors.joining(","));
         try (Program program = startProgram(Program.SETTINGS); Client client = program.client()) {
-            program.discovery.take().reply("200 OK", "{\"revision\":2,\"complete\":true,\"members\":[" + many + "]}");
+            program.discovery.take().reply("200 OK", "{\"revision\":2,\"complete\":true,\"members\":[" + members + "]}");
             program.discovery.take();
-            // The lines of a list come due half a second behind it: requests go on coming before, at and after that time.
-            long listed = System.nanoTime();
-            while (millisSince(listed) < 1_500) {
+            // The log lines about a list are written 0.5 s after it: requests are sent before, at and after that time.
+            long listedNanos = System.nanoTime();
+            while (millisSince(listedNanos) < 1_500) {
                 client.send(Client.request("/preview", "5000m", "", ""));
                 backend.take().sendResult("r");
                 assertEquals(200, client.read().status());
             }
             program.process.toHandle().destroy();
-            assertTrue(program.process.waitFor(FakeServer.TIMEOUT_SECONDS, TimeUnit.SECONDS), "it ends all the same");
+            assertTrue(program.process.waitFor(FakeServer.TIMEOUT_SECONDS, TimeUnit.SECONDS), "the program exits nevertheless");
             assertEquals(143, program.process.exitValue());
         }
     }
 
-    /** A fifo stands where the configuration is to be read: SIGTERM comes before anything was begun. */
+    /** The configuration is read from a FIFO that nobody writes to, so SIGTERM arrives before anything has been started. */
     @Test void exitsAtOnceOnSigtermDuringStartup() throws IOException, InterruptedException {
         Path fifo = folder.resolve("config.json");
         assertEquals(0, new ProcessBuilder("mkfifo", fifo.toString()).start().waitFor());
@@ -160,34 +182,38 @@
         Files.delete(fifo);
     }
 
-    /** Where there is no descriptor left a connection can't be opened: its attempt waited until its time was over. */
+    /**
+     * Without a free file descriptor no connection can be opened. The attempt has to end at once, not only at the deadline of
+     * its request.
+     */
     @Test void refusesAtOnceWhenNoDescriptorIsLeft() throws IOException, InterruptedException {
         try (Program program = startProgram(Program.SETTINGS); Client client = program.client()) {
             program.discovery.take();
             assertEquals(200, client.get("/healthz").status());
             String pid = String.valueOf(program.process.pid());
-            Path open = Path.of("/proc", pid, "fd");
-            long before = countEntries(open);
+            Path descriptors = Path.of("/proc", pid, "fd");
+            long descriptorsBefore = countEntries(descriptors);
             client.send(Client.request("/preview", "5000m", "", ""));
             FakeServer.Exchange first = backend.take();
             first.sendResult("r");
             first.reset();
             assertEquals(200, client.read().status());
-            Await.until("its descriptor's end", () -> countEntries(open) == before);
-            int free = 0;
-            while (Files.exists(open.resolve(String.valueOf(free)), LinkOption.NOFOLLOW_LINKS)) {
-                free++;
+            Await.until("the descriptor is closed", () -> countEntries(descriptors) == descriptorsBefore);
+            int firstFree = 0;
+            while (Files.exists(descriptors.resolve(String.valueOf(firstFree)), LinkOption.NOFOLLOW_LINKS)) {
+                firstFree++;
             }
-            assertEquals(0, new ProcessBuilder("prlimit", "--pid", pid, "--nofile=" + free + ":").start().waitFor());
-            long sent = System.nanoTime();
+            assertEquals(0, new ProcessBuilder("prlimit", "--pid", pid, "--nofile=" + firstFree + ":").start().waitFor());
+            long sentNanos = System.nanoTime();
             client.send(Client.request("/preview", "5000m", "", ""));
-            assertEquals(503, client.read().status(), "nothing of it ran");
-            assertTrue(millisSince(sent) < 3_000, "at once, and not when its time is over");
+            assertEquals(503, client.read().status(), "the request did not run");
+            assertTrue(millisSince(sentNanos) < 3_000, "at once, not at the deadline");
             assertEquals(0, new ProcessBuilder("prlimit", "--pid", pid, "--nofile=1024:").start().waitFor());
             client.send(Client.request("/preview", "5000m", "", ""));
             backend.take().sendResult("r");
             assertEquals(200, client.read().status());
-            assertEquals(1, program.counterValue("backend_connections_open"), "none counts that never was");
+            assertEquals(1, program.counterValue("backend_connections_open"),
+                "the connection that failed to open is not counted");
         }
     }
 
@@ -200,11 +226,11 @@
     @Test void ignoresRepeatedSigterm() throws IOException, InterruptedException {
         try (Program program = startProgram(Program.SETTINGS); Client client = program.client()) {
             client.send(Client.request("/preview", "5000m", "", ""));
-            FakeServer.Exchange call = backend.take().sendStarted();
+            FakeServer.Exchange exchange = backend.take().sendStarted();
             for (int i = 0; i < 3; i++) {
                 new ProcessBuilder("kill", "-TERM", String.valueOf(program.process.pid())).start().waitFor();
             }
-            call.sendLine("done", ",\"result\":\"r\"").endResponse();
+            exchange.sendLine("done", ",\"result\":\"r\"").endResponse();
             assertEquals("r", client.read().body());
             assertTrue(program.awaitOutput().contains("badgermux_reqs_taken 1\n"));
             assertEquals(143, program.process.waitFor());
--- a/src/test/java/badgermux/it/SlowClientsIT.java
+++ b/src/test/java/badgermux/it/SlowClientsIT.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Peers that write slowly, say half of something or nothing, and crowds of them, on few descriptors. */
+/** Runs the packaged program with 128 descriptors and clients, also in crowds, that send slowly, half a request or nothing. */
 @Timeout(60)
 class SlowClientsIT {
     @TempDir private Path folder;
@@ -32,12 +32,13 @@
         backend.close();
     }
 
-    /** Sends a request in pieces, with a pause behind each. */
-    private static void sendSlowly(Client client, String request, int pieces, int millis) throws IOException, InterruptedException {
+    /** Sends a request in pieces, with a pause after each. */
+    private static void sendSlowly(Client client, String request, int pieces, int pauseMillis)
+            throws IOException, InterruptedException {
         int size = (request.length() + pieces - 1) / pieces;
-        for (int at = 0; at < request.length(); at += size) {
-            client.send(request.substring(at, Math.min(request.length(), at + size)));
-            TimeUnit.MILLISECONDS.sleep(millis);
+        for (int start = 0; start < request.length(); start += size) {
+            client.send(request.substring(start, Math.min(request.length(), start + size)));
+            TimeUnit.MILLISECONDS.sleep(pauseMillis);
         }
     }
 
@@ -51,39 +52,42 @@
 
     @Test void answers408AfterTwoSecondsOfSilence() throws IOException {
         try (Client client = program.client()) {
-            long before = System.nanoTime();
+            long startNanos = System.nanoTime();
             client.send("POST /preview HTTP/1.1\r\nHost: x\r\n");
             assertEquals(408, client.read().status());
-            assertTrue(System.nanoTime() - before < 3_000_000_000L);
+            assertTrue(System.nanoTime() - startNanos < 3_000_000_000L);
         }
     }
 
     @Test void answers408ToRequestThatNeverEnds() throws IOException, InterruptedException {
         try (Client client = program.client()) {
-            long before = System.nanoTime();
+            long startNanos = System.nanoTime();
             client.send("POST /preview HTTP/1.1\r\nX-A: ");
-            while (client.unreadBytes() == 0 && System.nanoTime() - before < 12_000_000_000L) {
+            while (client.unreadBytes() == 0 && System.nanoTime() - startNanos < 12_000_000_000L) {
                 client.send("a");
                 TimeUnit.MILLISECONDS.sleep(200);
             }
             assertEquals(408, client.read().status());
-            assertTrue(System.nanoTime() - before < 9_500_000_000L);
+            assertTrue(System.nanoTime() - startNanos < 9_500_000_000L);
         }
     }
 
-    /** More than there is room for send a byte now and then for ever: who is new gets a place all the same. */
+    /**
+     * More clients than the connection limit keep sending a byte now and then. A new client must be accepted nevertheless,
+     * as soon as the grace of 3 s has passed for one of them.
+     */
     @Test void servesNewClientDespiteCrowdSendingByteByByte() throws IOException, InterruptedException {
         List<Client> crowd = new ArrayList<>();
         for (int i = 0; i < 80; i++) {
             crowd.add(program.client().send("POST /preview HTTP/1.1\r\nX-A: "));
         }
-        Thread drip = new Thread(() -> {
+        Thread trickle = new Thread(() -> {
             while (!Thread.currentThread().isInterrupted()) {
                 for (Client client : crowd) {
                     try {
                         client.send("a");
                     } catch (IOException e) {
-                        // it had to make room
+                        // expected: the connection was evicted
                     }
                 }
                 try {
@@ -93,53 +97,56 @@
                 }
             }
         });
-        drip.start();
+        trickle.start();
         try (Client client = program.client()) {
-            long before = System.nanoTime();
+            long startNanos = System.nanoTime();
             client.send(Client.request("/preview", "9000m", "", ""));
             backend.take().sendResult("r");
             assertEquals(200, client.read().status());
-            assertTrue(System.nanoTime() - before < 5_000_000_000L, "after the 3 s that they are let be");
+            assertTrue(System.nanoTime() - startNanos < 5_000_000_000L, "soon after the 3 s without eviction");
         } finally {
-            drip.interrupt();
-            drip.join();
+            trickle.interrupt();
+            trickle.join();
             for (Client client : crowd) {
                 client.close();
             }
         }
     }
 
-    /** Ten times as many as there is room for, silent or halfway; new clients are served, also those that send slowly. */
+    /**
+     * Ten times as many clients as the connection limit are silent or have sent half a request. New clients are served, even
+     * those that send slowly.
+     */
     @Test void servesNewClientsDespiteSilentAndHalfSentCrowd() throws IOException, InterruptedException {
         List<Client> crowd = new ArrayList<>();
-        for (int turn = 0; turn < 6; turn++) {
-            // More come while it sends than there is room for; it is let be for 3 s, however slow this machine is today.
-            try (Client slow = program.client()) {
+        for (int round = 0; round < 6; round++) {
+            // More clients than the limit connect meanwhile. This one is not evicted for 3 s, long enough for a slow machine.
+            try (Client slowClient = program.client()) {
                 String request = Client.request("/preview", "5000m", "", "body");
-                slow.send(request.substring(0, 20));
-                pause(50);      // from 20 ms on a request goes on coming, and was not left behind
-                slow.send(request.substring(20, 40));
+                slowClient.send(request.substring(0, 20));
+                pause(50);      // input 20 ms or more after the first shows that the request is in progress
+                slowClient.send(request.substring(20, 40));
                 for (int i = 0; i < 100; i++) {
                     crowd.add(program.client());
                     if (i % 2 == 0) {
                         crowd.get(crowd.size() - 1).send("POST /preview HTTP/1.1\r\nHost: x\r\nX-Req");
                     }
                     if (i == 50) {
-                        pause(350);     // silent for longer than one is spared that left half a request behind
+                        pause(350);     // longer than the eviction grace of an abandoned half request
                     }
                 }
-                slow.send(request.substring(40));
+                slowClient.send(request.substring(40));
                 backend.take().sendResult("slow");
-                assertEquals("slow", slow.read().body(), "crowd of " + crowd.size());
+                assertEquals("slow", slowClient.read().body(), "crowd of " + crowd.size());
             }
-            if (turn % 2 == 1) {
-                long before = System.nanoTime();
+            if (round % 2 == 1) {
+                long startNanos = System.nanoTime();
                 try (Client client = program.client()) {
                     client.send(Client.request("/preview", "5000m", "", ""));
                     backend.take().sendResult("r");
                     assertEquals(200, client.read().status());
                 }
-                assertTrue(System.nanoTime() - before < 3_000_000_000L, "served in time, crowd of " + crowd.size());
+                assertTrue(System.nanoTime() - startNanos < 3_000_000_000L, "served too late, crowd of " + crowd.size());
                 assertEquals("200 ready\n", program.callConsole("HEALTH"));
             }
         }
@@ -148,9 +155,9 @@
         }
     }
 
-    /** A time that has to pass for what a test says, whatever else happens. */
+    /** Waits until this time has passed. */
     private static void pause(int millis) {
-        long from = System.nanoTime();
-        Await.until("its end", () -> System.nanoTime() - from > millis * 1_000_000L);
+        long startNanos = System.nanoTime();
+        Await.until("the end of the pause", () -> System.nanoTime() - startNanos > millis * 1_000_000L);
     }
 }
--- a/src/test/java/badgermux/it/ZoneFailoverIT.java
+++ b/src/test/java/badgermux/it/ZoneFailoverIT.java
@@ -18,9 +18,13 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A zone's loss and return on the real jar: what the stand-in nodes of either zone were sent. */
+/**
+ * Runs the packaged program through the loss and the return of a zone, and checks what the fake backends of both zones were
+ * sent.
+ */
 @Timeout(90)
 class ZoneFailoverIT {
+    /** Short times, so that a zone changes its standing within seconds. */
     private static final String ZONE_SETTINGS = "{\"holdMs\":500,\"stageMs\":200,\"learnsForMs\":200,\"evidenceForMs\":2000}";
 
     @TempDir private Path folder;
@@ -36,56 +40,58 @@
     @BeforeEach void start() throws IOException {
         StringBuilder list = new StringBuilder();
         for (int i = 0; i < 3; i++) {
-            FakeServer here = new FakeServer();
-            FakeServer gone = new FakeServer();
-            west.add(here);
-            eastPorts.add(gone.port());
-            serveInBackground(here, false);
-            list.append(i == 0 ? "" : ",").append(member("w-" + i, here, "west", "SERVING")).append(',')
-                .append(member("e-" + i, gone, "east", "SERVING"));
-            // Nobody listens there until the zone comes back: connections are refused, as by dead processes.
-            gone.close();
+            FakeServer westBackend = new FakeServer();
+            FakeServer eastBackend = new FakeServer();
+            west.add(westBackend);
+            eastPorts.add(eastBackend.port());
+            serveInBackground(westBackend, false);
+            list.append(i == 0 ? "" : ",").append(member("w-" + i, westBackend, "west", "SERVING")).append(',')
+                .append(member("e-" + i, eastBackend, "east", "SERVING"));
+            // Connections to this port are refused until the zone returns, as after the crash of a backend.
+            eastBackend.close();
         }
         members = list.toString();
     }
 
     @AfterEach void stop() throws IOException {
         program.close();
-        for (FakeServer peer : west) {
-            peer.close();
+        for (FakeServer server : west) {
+            server.close();
         }
-        for (FakeServer peer : east) {
-            peer.close();
+        for (FakeServer server : east) {
+            server.close();
         }
     }
 
-    private void serveInBackground(FakeServer peer, boolean inEast) {
+    /** Serves the requests to a backend on a thread of its own and counts them. */
+    private void serveInBackground(FakeServer server, boolean inEast) {
         Thread thread = new Thread(() -> {
             try {
                 while (true) {
-                    FakeServer.Exchange call = peer.take();
-                    String key = call.header("Idempotency-Key");
+                    FakeServer.Exchange exchange = server.take();
+                    String key = exchange.header("Idempotency-Key");
                     if (key != null) {
                         runsByKey.merge(key, 1, Integer::sum);
                     }
                     servedCount.incrementAndGet();
                     servedInEastCount.addAndGet(inEast ? 1 : 0);
-                    call.sendResult("r");
+                    exchange.sendResult("r");
                 }
             } catch (InterruptedException | IOException | AssertionError e) {
-                // the test is over, or nothing came for a while
+                // expected at the end of the test, or when no request came for a while
             }
         });
         thread.setDaemon(true);
         thread.start();
     }
 
+    /** Sets the settings of zones by the admin API and restarts the program, which reads them from its snapshot. */
     private void startWithZonesEnabled() throws IOException {
         program = new Program(folder, members, "--snapshot " + folder.resolve("s.json"));
         try (Client admin = program.adminClient()) {
             assertEquals(422, admin.callAdmin("PUT", "/v1/zones", "", "{\"darkAt\":0.1}").status());
-            Client.Response wrong = admin.callAdmin("PUT", "/v1/zones", "", "{\"darkness\":1}");
-            assertTrue(wrong.status() == 422 && wrong.body().contains("darkness is no setting"), wrong.body());
+            Client.Response invalid = admin.callAdmin("PUT", "/v1/zones", "", "{\"darkness\":1}");
+            assertTrue(invalid.status() == 422 && invalid.body().contains("darkness is no setting"), invalid.body());
             assertTrue(admin.callAdmin("GET", "/v1/zones", "", "").body().contains("\"on\": false"));
             assertEquals(200, admin.callAdmin("PUT", "/v1/zones", "", ZONE_SETTINGS).status());
         }
@@ -93,6 +99,7 @@
         program = new Program(folder, members, "--snapshot " + folder.resolve("s.json"));
     }
 
+    /** Returns what the admin API shows of the zones. */
     private String zoneView() throws IOException {
         try (Client admin = program.adminClient()) {
             return admin.callAdmin("GET", "/v1/zones", "", "").body();
@@ -103,10 +110,14 @@
         return view.replaceAll("\\s", "").contains("\"zone\":\"" + zone + "\",\"standing\":\"" + standing + "\"");
     }
 
+    /**
+     * The zone east is down at first: its work is spilled to west, and keyed requests run at most once. When its backends
+     * return, the zone gets work again by stages.
+     */
     @Test void spillsWorkOfDarkZoneAndReturnsItByStages() throws IOException {
         startWithZonesEnabled();
-        int answers = 0;
-        int done = 0;
+        int answerCount = 0;
+        int resultCount = 0;
         String view = "";
         try (Client client = program.client()) {
             for (int round = 0; !hasStanding(view, "east", "dark"); round++) {
@@ -114,39 +125,40 @@
                 for (int i = 0; i < 5; i++) {
                     int status = client.send(Client.request("/preview", "5000m", "", "")).read().status();
                     assertTrue(status == 200 || status == 503, "status " + status);
-                    done += status == 200 ? 1 : 0;
-                    answers++;
+                    resultCount += status == 200 ? 1 : 0;
+                    answerCount++;
                 }
                 view = zoneView();
             }
-            // A keyed job goes out once, wherever its zone stands.
+            // A keyed request is sent once, whatever the standing of its zone.
             for (int i = 0; i < 20; i++) {
-                int status = client.send(Client.request("/publish", "5000m", "Idempotency-Key: k" + i + "\r\n", "")).read().status();
+                int status = client.send(Client.request("/publish", "5000m", "Idempotency-Key: k" + i + "\r\n", "")).read()
+                    .status();
                 assertTrue(status == 200 || status == 503, "status " + status);
-                done += status == 200 ? 1 : 0;
-                answers++;
+                resultCount += status == 200 ? 1 : 0;
+                answerCount++;
             }
-            assertTrue(done > answers / 2, done + " of " + answers);
+            assertTrue(resultCount > answerCount / 2, resultCount + " of " + answerCount + " served");
             assertEquals(0, servedInEastCount.get());
             assertTrue(zoneView().contains("nodes fail (connects "), view);
             for (int port : eastPorts) {
-                FakeServer back = new FakeServer(port);
-                east.add(back);
-                serveInBackground(back, true);
+                FakeServer restarted = new FakeServer(port);
+                east.add(restarted);
+                serveInBackground(restarted, true);
             }
-            boolean returning = false;
+            boolean wasReturning = false;
             for (int round = 0; !hasStanding(view, "east", "whole"); round++) {
                 assertTrue(round < 30_000, view);
                 int status = client.send(Client.request("/preview", "5000m", "", "")).read().status();
                 assertTrue(status == 200 || status == 503, "status " + status);
-                done += status == 200 ? 1 : 0;
+                resultCount += status == 200 ? 1 : 0;
                 view = zoneView();
-                returning |= hasStanding(view, "east", "returning");
+                wasReturning |= hasStanding(view, "east", "returning");
             }
-            assertTrue(returning, "it came back by stages");
+            assertTrue(wasReturning, "the zone returned by stages");
         }
-        assertEquals(done, servedCount.get(), "one run for each answer");
-        assertFalse(runsByKey.values().stream().anyMatch(times -> times > 1), runsByKey.toString());
+        assertEquals(resultCount, servedCount.get(), "one run for each result");
+        assertFalse(runsByKey.values().stream().anyMatch(runs -> runs > 1), runsByKey.toString());
         assertTrue(servedInEastCount.get() > 0);
         assertEquals(0, program.counterValue("exceptions"));
     }
