--- a/src/test/java/badgermux/it/EventOrderIT.java
+++ b/src/test/java/badgermux/it/EventOrderIT.java
@@ -334,8 +334,8 @@
     }
 
     /**
-     * A backend drains, leaves the list or changes its address while the connection to it is being established. Within 0.75 s
-     * of that it must get no new request, so the unsent attempt goes to another backend.
+     * A backend drains, leaves the list or changes its address while the connection to it is being established. From 0.75 s
+     * after that it must get no new request, so the unsent attempt goes to another backend.
      */
     @Test void movesUnsentAttemptWhenBackendDrainsLeavesOrMoves() throws Exception {
         FakeServer other = new FakeServer();
