--- a/src/lab/java/badgermux/scale/ChangePropagation.java
+++ b/src/lab/java/badgermux/scale/ChangePropagation.java
@@ -8,109 +8,119 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What discovery told whom, and when. Changes are numbered on without end, also where discovery's revisions begin anew.
- * Times are {@link System#nanoTime}. A change counts as in force at a dispatcher once its next watch asks from there on.
+ * Records when each change of the backend list reaches each dispatcher. Changes are numbered from 1, and the numbers go on when
+ * the revisions of discovery restart. Times are of {@link System#nanoTime}. A change is in force in a dispatcher once that
+ * dispatcher watches from it or from a later change.
  */
 final class ChangePropagation {
     private static final long MAX_RECORDED_MICROS = 600_000_000;
 
+    /** A change, the last time at which it came into force in a dispatcher, and the number of such dispatchers. */
     private static final class Change {
         private final long madeAtNanos;
         private long lastInForceAtNanos;
         private int inForceCount;
 
-        Change(long at) {
-            this.madeAtNanos = at;
+        Change(long madeAtNanos) {
+            this.madeAtNanos = madeAtNanos;
         }
     }
 
     private final List<Change> changes = new ArrayList<>();
+    /** For each dispatcher the last change that is in force there. */
     private final long[] inForceUpTo;
-    /** Whether a dispatcher has started and not yet asked from the newest change on. */
+    /** Whether a dispatcher has started and not yet watched from the newest change. */
     private final boolean[] isStarting;
-    private final List<ConcurrentSkipListMap<Long, Long>> told = new ArrayList<>();
-    private final Histogram each = new Histogram(MAX_RECORDED_MICROS, 3);
+    /** For each dispatcher the time at which an answer up to a change was first sent. */
+    private final List<ConcurrentSkipListMap<Long, Long>> answeredAt = new ArrayList<>();
+    private final Histogram untilInForce = new Histogram(MAX_RECORDED_MICROS, 3);
 
     ChangePropagation(int dispatchers) {
         inForceUpTo = new long[dispatchers];
         isStarting = new boolean[dispatchers];
         Arrays.fill(isStarting, true);
         for (int d = 0; d < dispatchers; d++) {
-            told.add(new ConcurrentSkipListMap<>());
+            answeredAt.add(new ConcurrentSkipListMap<>());
         }
     }
 
-    /** A change is made; its number, from 1. */
-    synchronized long addChange(long now) {
-        changes.add(new Change(now));
+    /** Adds a change and returns its number. */
+    synchronized long addChange(long nowNanos) {
+        changes.add(new Change(nowNanos));
         return changes.size();
     }
 
-    /** Discovery writes an answer that goes up to a change. */
-    void told(int dispatcher, long change, long now) {
-        told.get(dispatcher).putIfAbsent(change, now);
+    /** Records that discovery sends an answer that includes all changes up to a number. */
+    void recordAnswer(int dispatcher, long change, long nowNanos) {
+        answeredAt.get(dispatcher).putIfAbsent(change, nowNanos);
     }
 
-    /** When a dispatcher was told of a change; {@link Long#MAX_VALUE} for not yet. */
-    long toldAtNanos(int dispatcher, long change) {
-        Map.Entry<Long, Long> answer = told.get(dispatcher).ceilingEntry(change);
+    /** Returns when a change was first sent to a dispatcher; {@link Long#MAX_VALUE} if it was not. */
+    long firstSentAtNanos(int dispatcher, long change) {
+        Map.Entry<Long, Long> answer = answeredAt.get(dispatcher).ceilingEntry(change);
         return answer == null ? Long.MAX_VALUE : answer.getValue();
     }
 
-    /** A dispatcher asks from a change on: that one and all before it are in force there. */
-    synchronized void recordWatch(int dispatcher, long from, long now) {
-        for (long c = inForceUpTo[dispatcher] + 1; c <= from; c++) {
+    /** Records that a dispatcher watches from a change: this one and all earlier ones are in force there. */
+    synchronized void recordWatch(int dispatcher, long since, long nowNanos) {
+        for (long c = inForceUpTo[dispatcher] + 1; c <= since; c++) {
             Change change = changes.get((int) c - 1);
-            change.lastInForceAtNanos = now;
+            change.lastInForceAtNanos = nowNanos;
             change.inForceCount++;
-            each.recordValue(Math.min(MAX_RECORDED_MICROS, (now - change.madeAtNanos) / 1_000));
+            untilInForce.recordValue(Math.min(MAX_RECORDED_MICROS, (nowNanos - change.madeAtNanos) / 1_000));
         }
-        inForceUpTo[dispatcher] = Math.max(inForceUpTo[dispatcher], from);
-        isStarting[dispatcher] &= from < changes.size();
+        inForceUpTo[dispatcher] = Math.max(inForceUpTo[dispatcher], since);
+        isStarting[dispatcher] &= since < changes.size();
     }
 
-    /** Forgets a dispatcher's place: it starts anew, and what it is told next counts. */
+    /** Records that a dispatcher restarts without a list: only answers from now on count for it. */
     synchronized void dispatcherRestarted(int dispatcher) {
         isStarting[dispatcher] = true;
-        told.get(dispatcher).clear();
+        answeredAt.get(dispatcher).clear();
     }
 
-    /** Starts the figures anew from the changes that follow; the first of them. */
+    /** Clears the recorded times, and returns the number of the next change. */
     synchronized long startMeasuring() {
-        each.reset();
+        untilInForce.reset();
         return changes.size() + 1L;
     }
 
-    /** How many dispatchers have all changes in force. */
+    /** Returns the number of dispatchers in which all changes are in force. */
     synchronized int upToDateCount() {
-        int current = 0;
+        int count = 0;
         for (int d = 0; d < inForceUpTo.length; d++) {
-            current += !isStarting[d] && inForceUpTo[d] == changes.size() ? 1 : 0;
+            count += !isStarting[d] && inForceUpTo[d] == changes.size() ? 1 : 0;
         }
-        return current;
+        return count;
     }
 
-    synchronized long changes() {
+    /** Returns the number of changes. */
+    synchronized long changeCount() {
         return changes.size();
     }
 
-    synchronized Times each() {
-        return Times.ofMicros(each);
+    /** Returns the times from a change until it was in force in a dispatcher, over all dispatchers. */
+    synchronized Times untilInForce() {
+        return Times.ofMicros(untilInForce);
     }
 
-    /** From each change on until it was in force in the last dispatcher, or from a later time on (healing) until then. */
-    synchronized Times untilInForceEverywhere(long first, long notBefore) {
+    /**
+     * Returns the times from a change until it was in force in the last dispatcher, for all changes from {@code first} on. For
+     * changes before {@code notBeforeNanos} the time starts there.
+     */
+    synchronized Times untilInForceEverywhere(long first, long notBeforeNanos) {
         Histogram last = new Histogram(MAX_RECORDED_MICROS, 3);
         for (long c = first; c <= changes.size(); c++) {
             Change change = changes.get((int) c - 1);
-            if (change.inForceCount == inForceUpTo.length && change.lastInForceAtNanos >= notBefore) {
-                last.recordValue(Math.min(MAX_RECORDED_MICROS, (change.lastInForceAtNanos - Math.max(change.madeAtNanos, notBefore)) / 1_000));
+            if (change.inForceCount == inForceUpTo.length && change.lastInForceAtNanos >= notBeforeNanos) {
+                last.recordValue(Math.min(MAX_RECORDED_MICROS,
+                    (change.lastInForceAtNanos - Math.max(change.madeAtNanos, notBeforeNanos)) / 1_000));
             }
         }
         return Times.ofMicros(last);
     }
 
-    /** How many changes from one on are not in force everywhere yet. */
+    /** Returns the number of changes, from {@code first} on, that are not in force in all dispatchers. */
     synchronized long notInForceCount(long first) {
         return changes.subList((int) first - 1, changes.size()).stream().filter(c -> c.inForceCount < inForceUpTo.length).count();
     }
--- a/src/lab/java/badgermux/scale/DiscoveryServer.java
+++ b/src/lab/java/badgermux/scale/DiscoveryServer.java
@@ -24,15 +24,15 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * A stand-in for discovery in the platform's form: the whole list, and watches that bring changes. Each dispatcher has a
- * port of its own, which tells who asks. It can fall silent for some, be late, drop answers, and begin its revisions anew.
- * All state is used on its one event loop.
+ * A stand-in for the discovery service. It serves the complete backend list, and watches that return changes. Each dispatcher
+ * has its own port, which identifies it. The server can stop answering some dispatchers, delay or drop answers, and restart
+ * its revisions. All state is confined to its event loop.
  */
 final class DiscoveryServer {
     private static final Pattern WATCH_QUERY = Pattern.compile("[?&]since=(\\d+)|[?&]timeout_ms=(\\d+)");
     private static final long MAX_WAIT_MS = 60_000;
 
-    /** A watch that waits for news. */
+    /** A watch request. */
     private static final class Watch {
         private final Connection connection;
         private final long since;
@@ -47,23 +47,24 @@
     private final EventLoop loop;
     private final FleetLayout layout;
     private final ScaleOptions options;
-    private final ChangePropagation ledger;
+    private final ChangePropagation propagation;
     private final TrafficCounter traffic;
     private final UniformRandomProvider random;
     private final BackendEntry[] entries;
-    /** The worker of each change; the change's number is its place, counted from 1. */
+    /** The backend of each change. The number of a change is its position in this list, counted from 1. */
     private final List<Integer> changedBackends = new ArrayList<>();
     private final List<Watch> openWatches = new ArrayList<>();
     private final List<List<Connection>> connections = new ArrayList<>();
     private final boolean[] isSilentFor;
-    /** What a change's number is above its revision; changes up to it come with the whole list only. */
+    /** The number of a change minus its revision. Changes up to this number are sent only with the complete list. */
     private long revisionOffset;
 
-    DiscoveryServer(EventLoop loop, FleetLayout layout, ScaleOptions options, ChangePropagation ledger, TrafficCounter traffic) {
+    DiscoveryServer(EventLoop loop, FleetLayout layout, ScaleOptions options, ChangePropagation propagation,
+            TrafficCounter traffic) {
         this.loop = loop;
         this.layout = layout;
         this.options = options;
-        this.ledger = ledger;
+        this.propagation = propagation;
         this.traffic = traffic;
         random = RandomSource.XO_RO_SHI_RO_128_PP.create(options.seed);
         entries = new BackendEntry[options.workers];
@@ -73,7 +74,7 @@
         }
     }
 
-    /** Listens for one dispatcher; the port. */
+    /** Starts listening for one dispatcher, and returns the port. */
     int listen(int dispatcher) throws InterruptedException {
         Channel channel = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
             .childOption(ChannelOption.TCP_NODELAY, true).childHandler(new ChannelInitializer<SocketChannel>() {
@@ -84,18 +85,21 @@
         return ((InetSocketAddress) channel.localAddress()).getPort();
     }
 
-    /** A worker's entry is new or has changed, and all who watch are told; the change's number, on the event loop. */
-    long publish(int worker, BackendEntry entry) {
-        entries[worker] = entry;
-        changedBackends.add(worker);
-        long number = ledger.addChange(System.nanoTime());
-        List<Watch> told = List.copyOf(openWatches);
+    /**
+     * Adds or replaces the entry of a backend, and answers all open watches. Returns the number of the change. Called on the
+     * event loop.
+     */
+    long publish(int backend, BackendEntry entry) {
+        entries[backend] = entry;
+        changedBackends.add(backend);
+        long number = propagation.addChange(System.nanoTime());
+        List<Watch> watches = List.copyOf(openWatches);
         openWatches.clear();
-        told.forEach(this::answer);
+        watches.forEach(this::answer);
         return number;
     }
 
-    /** Whether a dispatcher hears nothing from here on; the connections that it had are reset when it does again. */
+    /** Stops answering a dispatcher, or answers it again; its old connections are reset then. */
     void setSilent(int dispatcher, boolean silent) {
         isSilentFor[dispatcher] = silent;
         if (!silent) {
@@ -103,11 +107,11 @@
         }
     }
 
-    /** Goes down and comes back with revisions that begin anew. */
+    /** Simulates a restart of discovery: connections are reset, and revisions start again. */
     void restartRevisions() {
         openWatches.clear();
         revisionOffset = changedBackends.size() - 1L;
-        connections.forEach(all -> List.copyOf(all).forEach(HttpServerConnection::reset));
+        connections.forEach(ofDispatcher -> List.copyOf(ofDispatcher).forEach(HttpServerConnection::reset));
     }
 
     private long revision() {
@@ -115,7 +119,8 @@
     }
 
     private void receiveWatch(Connection connection, long since, long waitMs) {
-        ledger.recordWatch(connection.dispatcher, since == 0 || since > revision() ? 0 : since + revisionOffset, System.nanoTime());
+        propagation.recordWatch(connection.dispatcher, since == 0 || since > revision() ? 0 : since + revisionOffset,
+            System.nanoTime());
         Watch watch = new Watch(connection, since);
         if (since != revision() || waitMs == 0) {
             answer(watch);
@@ -150,27 +155,28 @@
         byte[] body = listJson(watch.since, layout.portForDispatcher(dispatcher)).getBytes(StandardCharsets.UTF_8);
         ByteBuf message = MessageEncoder.response(200, "OK", "Content-Type: application/json\r\n", body, true);
         traffic.recordOut(TrafficCounter.Purpose.LISTS, message.readableBytes());
-        ledger.told(dispatcher, changedBackends.size(), System.nanoTime());
+        propagation.recordAnswer(dispatcher, changedBackends.size(), System.nanoTime());
         watch.connection.write(message);
     }
 
-    /** The entries that changed after a revision, or all where that one is not known. */
+    /** Returns the entries that changed after a revision, or the complete list if the revision is unknown. */
     private String listJson(long since, int port) {
         boolean complete = since <= 0 || since > revision();
         Set<Integer> members = new LinkedHashSet<>(complete
-            ? IntStream.range(0, entries.length).filter(w -> entries[w] != null && !entries[w].isDeleted()).boxed().toList()
+            ? IntStream.range(0, entries.length).filter(index -> entries[index] != null && !entries[index].isDeleted()).boxed()
+                .toList()
             : changedBackends.subList((int) (since + revisionOffset), changedBackends.size()));
         StringBuilder json = new StringBuilder("{\"revision\":").append(revision()).append(",\"complete\":").append(complete)
             .append(",\"members\":[");
         String separator = "";
-        for (int worker : members) {
-            json.append(separator).append(entries[worker].json(port));
+        for (int backend : members) {
+            json.append(separator).append(entries[backend].json(port));
             separator = ",";
         }
         return json.append("]}").toString();
     }
 
-    /** A dispatcher's connection. */
+    /** A connection of a dispatcher. */
     private final class Connection extends HttpServerConnection {
         private final int dispatcher;
 
--- a/src/lab/java/badgermux/scale/FaultInjector.java
+++ b/src/lab/java/badgermux/scale/FaultInjector.java
@@ -7,10 +7,10 @@
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** What happens during the measured part: churn, and a cut that is healed. Runs on the thread of the steps. */
+/** Injects the faults of the measured part: churn of backends, and a cut that is healed. Runs on the thread of the steps. */
 final class FaultInjector {
     private static final double DAY_MS = 86_400_000;
-    /** A cut begins after this part of what is left of the run beside it. */
+    /** A cut begins when this part of the time outside the cut has passed: 4 means a quarter. */
     private static final int CUT_START_DIVISOR = 4;
     private static final int CUT_ZONE = 0;
 
@@ -23,14 +23,14 @@
     private final UniformRandomProvider random;
     private final ZigguratSampler.Exponential gaps;
     private volatile boolean isStopped;
-    /** {@link System#nanoTime}; 0 where nothing was cut off. */
-    private volatile long healedAt;
+    /** The {@link System#nanoTime} at the end of the cut; 0 before it, or if nothing is cut off. */
+    private volatile long healedAtNanos;
 
-    FaultInjector(ScaleOptions options, FleetLayout layout, HollowBackends workers, DiscoveryServer discovery,
+    FaultInjector(ScaleOptions options, FleetLayout layout, HollowBackends backends, DiscoveryServer discovery,
             EventLoop discoveryLoop, StepScheduler steps) {
         this.options = options;
         this.layout = layout;
-        this.backends = workers;
+        this.backends = backends;
         this.discovery = discovery;
         this.discoveryLoop = discoveryLoop;
         this.steps = steps;
@@ -42,22 +42,22 @@
         if (options.churn > 0) {
             scheduleChurn();
         }
-        long spare = 1_000L * (options.seconds - options.cutSeconds) / CUT_START_DIVISOR;
+        long startMs = 1_000L * (options.seconds - options.cutSeconds) / CUT_START_DIVISOR;
         if (options.cuts()) {
-            steps.scheduleMs(spare, () -> cut(true));
-            steps.scheduleMs(spare + 1_000L * options.cutSeconds, () -> cut(false));
+            steps.scheduleMs(startMs, () -> setCutOff(true));
+            steps.scheduleMs(startMs + 1_000L * options.cutSeconds, () -> setCutOff(false));
         } else if (options.scenario == ScaleOptions.Scenario.ANEW) {
             discoveryLoop.schedule(discovery::restartRevisions, options.seconds / CUT_START_DIVISOR, TimeUnit.SECONDS);
         }
     }
 
-    /** No further churn; what has begun goes on to its end. */
+    /** Starts no further churn; restarts and replacements that have begun are completed. */
     void stopChurn() {
         isStopped = true;
     }
 
-    long healedAt() {
-        return healedAt;
+    long healedAtNanos() {
+        return healedAtNanos;
     }
 
     private void scheduleChurn() {
@@ -70,47 +70,51 @@
             return;
         }
         scheduleChurn();
-        int worker = backends.pickAvailable(random::nextInt);
+        int backend = backends.pickAvailable(random::nextInt);
         boolean fails = random.nextDouble() * (options.failsADay + options.restartsADay) < options.failsADay;
-        if (worker < 0) {
+        if (backend < 0) {
             return;
         }
         if (fails) {
-            backends.fail(worker);
+            backends.fail(backend);
         } else {
-            backends.restart(worker);
+            backends.restart(backend);
         }
     }
 
-    private void cut(boolean off) {
-        int[] lost = IntStream.range(0, options.workers).filter(this::isCut).toArray();
+    /** Cuts off or heals the part of the fleet that the scenario names. */
+    private void setCutOff(boolean cutOff) {
+        int[] cutBackends = IntStream.range(0, options.workers).filter(this::isCut).toArray();
         if (options.scenario == ScaleOptions.Scenario.REGION) {
-            cutRegion(lost, off);
+            setRegionCutOff(cutBackends, cutOff);
         } else {
-            backends.cut(lost, new int[] {0}, off);
+            backends.setCutOff(cutBackends, new int[] {0}, cutOff);
         }
         if (options.scenario != ScaleOptions.Scenario.RACK) {
             discoveryLoop.execute(() -> IntStream.range(0, options.allDispatchers()).filter(this::isCutDispatcher)
-                .forEach(d -> discovery.setSilent(d, off)));
+                .forEach(d -> discovery.setSilent(d, cutOff)));
         }
-        backends.publishCut(lost, off);
-        if (!off) {
-            healedAt = System.nanoTime();
+        backends.publishCut(cutBackends, cutOff);
+        if (!cutOff) {
+            healedAtNanos = System.nanoTime();
         }
     }
 
-    /** Each side goes on with its own workers: who is seen at a region's port is cut off from that region. */
-    private void cutRegion(int[] lost, boolean off) {
+    /**
+     * Separates a region from the others. Each side keeps its own backends, and the ports that serve the dispatchers of the
+     * other side are cut off.
+     */
+    private void setRegionCutOff(int[] cutBackends, boolean cutOff) {
         int region = FleetLayout.regionOfZone(CUT_ZONE);
-        int[] others = IntStream.range(0, FleetLayout.REGIONS).filter(r -> r != region).toArray();
-        backends.cut(lost, others, off);
-        backends.cut(IntStream.range(0, options.workers).filter(w -> !isCut(w)).toArray(), new int[] {region}, off);
+        int[] otherRegions = IntStream.range(0, FleetLayout.REGIONS).filter(r -> r != region).toArray();
+        backends.setCutOff(cutBackends, otherRegions, cutOff);
+        backends.setCutOff(IntStream.range(0, options.workers).filter(b -> !isCut(b)).toArray(), new int[] {region}, cutOff);
     }
 
-    private boolean isCut(int worker) {
-        int zone = layout.zoneOfBackend(worker);
+    private boolean isCut(int backend) {
+        int zone = layout.zoneOfBackend(backend);
         return switch (options.scenario) {
-            case RACK -> worker < options.rack;
+            case RACK -> backend < options.rack;
             case ZONE -> zone == CUT_ZONE;
             default -> FleetLayout.regionOfZone(zone) == FleetLayout.regionOfZone(CUT_ZONE);
         };
--- a/src/lab/java/badgermux/scale/FleetLayout.java
+++ b/src/lab/java/badgermux/scale/FleetLayout.java
@@ -5,17 +5,34 @@
 import java.util.List;
 import java.util.stream.IntStream;
 
-/** Where everybody stands, and the settings that all dispatchers share. Dispatchers are numbered: the real ones come first. */
+/** The zones and regions of backends and dispatchers, and the dispatchers' settings. Real dispatchers have the first numbers. */
 final class FleetLayout {
-    static final int REGIONS = 3, ZONES = 11, SLOTS = 4;
-    static final String CLASS = "task", KIND = "k";
-    /** A task runs for this multiple of the mean at least, and at most. */
-    static final double MIN_RUN_FACTOR = 0.5, MAX_RUN_FACTOR = 1.5;
-    /** The platform's rules: the time to stop sending after news, and the budget of cold workers. Milliseconds. */
-    static final long STOP_SENDING_MS = 750, SOCKET_MARGIN_MS = 50, WARM_UP_MS = 23_000, OVERLOAD_WINDOW_MS = 2_000;
-    static final double COLD_CAPACITY_SHARE = 0.15, OVERLOAD_MULTIPLE = 3;
+    static final int REGIONS = 3;
+    static final int ZONES = 11;
+    /** Slots of a backend. */
+    static final int SLOTS = 4;
+    /** The name of the only request class. */
+    static final String CLASS = "task";
+    /** The name of the only machine kind. */
+    static final String KIND = "k";
+    /** The shortest run time of a request, as a multiple of the mean. */
+    static final double MIN_RUN_FACTOR = 0.5;
+    /** The longest run time of a request, as a multiple of the mean. */
+    static final double MAX_RUN_FACTOR = 1.5;
+    /** By the platform's rules, a dispatcher has to stop sending to a backend within this time after it learns of a drain. */
+    static final long STOP_SENDING_MS = 750;
+    /** Time that an attempt may spend between the sockets of dispatcher and backend. */
+    static final long SOCKET_MARGIN_MS = 50;
+    static final long WARM_UP_MS = 23_000;
+    /** The window over which the work sent to a cold backend is limited. */
+    static final long OVERLOAD_WINDOW_MS = 2_000;
+    /** The share of its capacity that a backend has when it starts cold. */
+    static final double COLD_CAPACITY_SHARE = 0.15;
+    /** The limit of the work sent to a cold backend in the window, as a multiple of what it can do in that time. */
+    static final double OVERLOAD_MULTIPLE = 3;
     private static final long TARGET_MS = 1_800;
-    private static final int REAL_SOCKETS = 1024, REAL_MEMORY_MB = 192;
+    private static final int REAL_SOCKETS = 1024;
+    private static final int REAL_MEMORY_MB = 192;
 
     private final ScaleOptions options;
 
@@ -23,8 +40,8 @@
         this.options = options;
     }
 
-    int zoneOfBackend(int worker) {
-        return worker * ZONES / options.workers;
+    int zoneOfBackend(int backend) {
+        return backend * ZONES / options.workers;
     }
 
     int zoneOfDispatcher(int dispatcher) {
@@ -39,16 +56,17 @@
         return "r" + regionOfZone(zone) + "-z" + zone;
     }
 
-    /** A region's dispatchers see workers at a port of their own where regions may lose each other. */
+    /** Returns the number of ports of a backend: one, or one for the dispatchers of each region if regions are cut off. */
     int portsPerBackend() {
         return options.scenario == ScaleOptions.Scenario.REGION ? REGIONS : 1;
     }
 
+    /** Returns the index of the port at which a dispatcher sees the backends. */
     int portForDispatcher(int dispatcher) {
         return portsPerBackend() == 1 ? 0 : regionOfZone(zoneOfDispatcher(dispatcher));
     }
 
-    /** What GW_CONFIG of a dispatcher holds. */
+    /** Returns the content of the GW_CONFIG file of a dispatcher. */
     String config(int dispatcher) {
         JsonObject limits = new JsonObject();
         limits.addProperty("sockets", REAL_SOCKETS);
--- a/src/lab/java/badgermux/scale/HollowBackend.java
+++ b/src/lab/java/badgermux/scale/HollowBackend.java
@@ -22,19 +22,21 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A worker without work: it takes attempts, lets each run for its time, tells reports, drains, dies and comes back cold.
- * All state is used on its one event loop.
+ * A backend that does no work: it accepts attempts, ends each after its run time, answers probes with load reports, and can
+ * drain, crash and start again cold. All state is confined to its event loop.
  */
 final class HollowBackend {
-    private static final int MAX_QUEUED = 16, ACCEPT_BACKLOG = 16;
+    private static final int MAX_QUEUED = 16;
+    private static final int ACCEPT_BACKLOG = 16;
     private static final String NOT_PROCESSED = "X-Not-Processed: 1\r\n";
 
     enum Phase { SERVING, DRAINING, DOWN }
 
-    /** A request that was taken, until its last line. */
+    /** An accepted attempt, until the end of its response. */
     private static final class Task {
         private final String id;
         private final Connection connection;
+        /** Whether the connection has closed. */
         private boolean isAbandoned;
 
         Task(String id, Connection connection) {
@@ -52,14 +54,17 @@
     private final List<Channel> listeners = new ArrayList<>();
     private final List<Set<Connection>> connections = new ArrayList<>();
     private final ArrayDeque<Task> queued = new ArrayDeque<>();
-    private final boolean[] cut;
+    /** Whether each port is cut off. */
+    private final boolean[] isCutOff;
     private Phase phase = Phase.DOWN;
-    /** Counts its starts: what ran before the last one is gone. */
+    /** Grows with each crash; attempts that started under an earlier number no longer exist. */
     private int processNumber;
     private int running;
-    /** When it started cold, {@link System#nanoTime}; 0 for long ago. */
+    /** The {@link System#nanoTime} of the last cold start; 0 if the backend started warm. */
     private long coldSinceNanos;
+    /** Null while the backend is warm. */
     private SendRules.ColdBudget coldBudget;
+    /** The number of the change of the backend list that announced the drain; 0 for none. */
     private long drainChange;
 
     HollowBackend(int number, EventLoop loop, int portCount, double meanRunMs, TrafficCounter traffic, SendRules rules) {
@@ -69,7 +74,7 @@
         this.meanRunMs = meanRunMs;
         this.traffic = traffic;
         this.rules = rules;
-        cut = new boolean[portCount];
+        isCutOff = new boolean[portCount];
         for (int p = 0; p < portCount; p++) {
             connections.add(new HashSet<>());
         }
@@ -79,7 +84,7 @@
         return loop;
     }
 
-    /** Starts to listen; the ports, from the system. */
+    /** Starts listening. Returns the ports, which the system chooses. */
     int[] listen() throws InterruptedException {
         int[] ports = new int[portCount];
         listeners.clear();
@@ -98,14 +103,15 @@
         return ports;
     }
 
-    void start(boolean isCold) {
+    /** Starts serving, cold or warm. */
+    void start(boolean cold) {
         phase = Phase.SERVING;
-        coldSinceNanos = isCold ? System.nanoTime() : 0;
-        coldBudget = isCold ? new SendRules.ColdBudget(meanRunMs) : null;
+        coldSinceNanos = cold ? System.nanoTime() : 0;
+        coldBudget = cold ? new SendRules.ColdBudget(meanRunMs) : null;
         drainChange = 0;
     }
 
-    /** It drains: {@code change} is the number under which discovery tells of it. */
+    /** Starts draining, and returns the queued attempts. {@code change} is the number of the list change that announces it. */
     void drain(long change) {
         phase = Phase.DRAINING;
         rules.recordDrain();
@@ -120,28 +126,28 @@
         return running == 0 && queued.isEmpty();
     }
 
-    /** Its machine dies: connections are reset, new ones refused. */
+    /** Simulates a crash of the machine: connections are reset, and new ones are refused. */
     void crash() {
         phase = Phase.DOWN;
         processNumber++;
         running = 0;
         queued.clear();
         listeners.forEach(Channel::close);
-        connections.forEach(all -> List.copyOf(all).forEach(HttpServerConnection::reset));
+        connections.forEach(ofPort -> List.copyOf(ofPort).forEach(HttpServerConnection::reset));
     }
 
     /**
-     * Cuts off those who use one of its ports: connections stay open and silent, and new ones do not come up beyond the few
-     * that the system holds. When it is healed, the connections of before are reset.
+     * Cuts off the dispatchers that use one of the ports, or heals the cut. Connections stay open without any response, and
+     * new ones succeed only up to the system's accept backlog. When the cut is healed, the old connections are reset.
      */
-    void cut(int port, boolean off) {
-        cut[port] = off;
+    void setCutOff(int port, boolean cutOff) {
+        isCutOff[port] = cutOff;
         if (phase == Phase.DOWN) {
             return;
         }
-        listeners.get(port).config().setAutoRead(!off);
+        listeners.get(port).config().setAutoRead(!cutOff);
         for (Connection connection : List.copyOf(connections.get(port))) {
-            if (off) {
+            if (cutOff) {
                 connection.stopReading();
             } else {
                 connection.reset();
@@ -150,11 +156,11 @@
     }
 
     private void answerProbe(Connection connection) {
-        String load = "TEXT x0=" + (FleetLayout.SLOTS - running) + ", inflight=" + running + ", queue=" + queued.size()
+        String report = "TEXT x0=" + (FleetLayout.SLOTS - running) + ", inflight=" + running + ", queue=" + queued.size()
             + ", recent_ms=" + meanRunMs;
-        ByteBuf answer = MessageEncoder.response(200, "OK", "", load.getBytes(StandardCharsets.US_ASCII), true);
-        traffic.recordOut(TrafficCounter.Purpose.PROBES, answer.readableBytes());
-        connection.write(answer);
+        ByteBuf response = MessageEncoder.response(200, "OK", "", report.getBytes(StandardCharsets.US_ASCII), true);
+        traffic.recordOut(TrafficCounter.Purpose.PROBES, response.readableBytes());
+        connection.write(response);
     }
 
     private void receiveAttempt(Connection connection, String id) {
@@ -197,14 +203,14 @@
         }, micros, TimeUnit.MICROSECONDS);
     }
 
-    /** How long a request runs when warm: drawn from its id, so that each attempt at it takes as long. */
+    /** Returns the run time of a request on a warm backend. It is drawn from the id, so all attempts take the same time. */
     private double warmRunMs(String id) {
-        double drawn = (Names.hash(id) >>> 11) * 0x1p-53;
-        return meanRunMs * (FleetLayout.MIN_RUN_FACTOR + drawn * (FleetLayout.MAX_RUN_FACTOR - FleetLayout.MIN_RUN_FACTOR));
+        double draw = (Names.hash(id) >>> 11) * 0x1p-53;
+        return meanRunMs * (FleetLayout.MIN_RUN_FACTOR + draw * (FleetLayout.MAX_RUN_FACTOR - FleetLayout.MIN_RUN_FACTOR));
     }
 
-    private void sendLine(Task task, String state, String more) {
-        String line = "{\"id\":\"" + task.id + "\",\"from\":\"s-" + number + "\",\"state\":\"" + state + '"' + more + "}\n";
+    private void sendLine(Task task, String state, String moreFields) {
+        String line = "{\"id\":\"" + task.id + "\",\"from\":\"s-" + number + "\",\"state\":\"" + state + '"' + moreFields + "}\n";
         send(task.connection, Unpooled.copiedBuffer(Integer.toHexString(line.length()) + "\r\n" + line + "\r\n",
             StandardCharsets.ISO_8859_1));
     }
@@ -219,7 +225,7 @@
         connection.write(message);
     }
 
-    /** A dispatcher's connection. */
+    /** A connection of a dispatcher. */
     private final class Connection extends HttpServerConnection {
         private final int port;
         private Task task;
@@ -239,7 +245,7 @@
             }
         }
 
-        /** What waits is dropped; what runs goes on, for nobody. */
+        /** Drops a queued attempt; a running one keeps its slot until its end. */
         @Override void onClosed() {
             connections.get(port).remove(this);
             if (task != null) {
--- a/src/lab/java/badgermux/scale/HollowBackends.java
+++ b/src/lab/java/badgermux/scale/HollowBackends.java
@@ -11,13 +11,18 @@
 import java.util.stream.IntStream;
 
 /**
- * All workers, and what befalls them. Discovery is told as late as a failure detector would; all is called on the
- * thread of the steps.
+ * All hollow backends, and the faults that happen to them. Discovery learns of a fault with the delay of a failure detector.
+ * All methods are called on the thread of the {@link StepScheduler}.
  */
 final class HollowBackends {
-    private static final long DETECTION_DELAY_MS = 1_000, DETECTION_SPREAD_MS = 2_000, REPLACEMENT_DELAY_MS = 10_000, RESTART_DELAY_MS = 5_000;
-    /** One that drains stays up for longer than sends may go on, so that late ones are seen. */
-    private static final long MIN_DRAIN_MS = 3 * FleetLayout.STOP_SENDING_MS, DRAIN_POLL_MS = 200;
+    private static final long DETECTION_DELAY_MS = 1_000;
+    /** The time over which the detection of a cut is spread, from the first backend to the last. */
+    private static final long DETECTION_SPREAD_MS = 2_000;
+    private static final long REPLACEMENT_DELAY_MS = 10_000;
+    private static final long RESTART_DELAY_MS = 5_000;
+    /** A draining backend stays up for longer than dispatchers may send to it, so that sends that come too late are counted. */
+    private static final long MIN_DRAIN_MS = 3 * FleetLayout.STOP_SENDING_MS;
+    private static final long DRAIN_POLL_MS = 200;
 
     private final FleetLayout layout;
     private final EventLoop discoveryLoop;
@@ -26,6 +31,7 @@
     private final long maxDrainMs;
     private final List<HollowBackend> backends = new ArrayList<>();
     private final BackendEntry[] entries;
+    /** Whether a backend is failing, restarting or cut off. */
     private final boolean[] isBusy;
 
     HollowBackends(ScaleOptions options, FleetLayout layout, EventLoopGroup loops, EventLoop discoveryLoop,
@@ -37,93 +43,97 @@
         maxDrainMs = options.giveUpMs();
         entries = new BackendEntry[options.workers];
         isBusy = new boolean[options.workers];
-        for (int w = 0; w < options.workers; w++) {
-            backends.add(new HollowBackend(w, loops.next(), layout.portsPerBackend(), options.meanRunMs(), traffic, rules));
+        for (int index = 0; index < options.workers; index++) {
+            backends.add(new HollowBackend(index, loops.next(), layout.portsPerBackend(), options.meanRunMs(), traffic, rules));
         }
     }
 
     void startAll() throws InterruptedException {
-        for (int w = 0; w < backends.size(); w++) {
-            start(w, false);
+        for (int index = 0; index < backends.size(); index++) {
+            start(index, false);
         }
     }
 
-    private void start(int w, boolean cold) throws InterruptedException {
-        HollowBackend worker = backends.get(w);
-        int[] ports = worker.listen();
-        worker.loop().execute(() -> worker.start(cold));
-        publish(w, new BackendEntry(String.format("s-%08x", w * 0x9e3779b1), ports, FleetLayout.zoneName(layout.zoneOfBackend(w)),
-            "SERVING", cold ? System.currentTimeMillis() : 0));
+    private void start(int index, boolean cold) throws InterruptedException {
+        HollowBackend backend = backends.get(index);
+        int[] ports = backend.listen();
+        backend.loop().execute(() -> backend.start(cold));
+        publish(index, new BackendEntry(String.format("s-%08x", index * 0x9e3779b1), ports,
+            FleetLayout.zoneName(layout.zoneOfBackend(index)), "SERVING", cold ? System.currentTimeMillis() : 0));
     }
 
-    private long publish(int w, BackendEntry entry) throws InterruptedException {
-        entries[w] = entry;
+    /** Publishes an entry, and returns the number of the change. */
+    private long publish(int index, BackendEntry entry) throws InterruptedException {
+        entries[index] = entry;
         try {
-            return discoveryLoop.submit(() -> discovery.publish(w, entry)).get();
+            return discoveryLoop.submit(() -> discovery.publish(index, entry)).get();
         } catch (ExecutionException e) {
             throw new IllegalStateException(e.getCause());
         }
     }
 
-    /** One that is up and to which nothing is happening; -1 where none is found in a few draws. */
+    /** Returns a random backend that is not failing, restarting or cut off; -1 if 20 draws find none. */
     int pickAvailable(IntUnaryOperator draw) {
-        return IntStream.range(0, 20).map(i -> draw.applyAsInt(backends.size())).filter(w -> !isBusy[w]).findFirst().orElse(-1);
+        return IntStream.range(0, 20).map(i -> draw.applyAsInt(backends.size())).filter(index -> !isBusy[index]).findFirst()
+            .orElse(-1);
     }
 
-    /** Its machine fails, and another takes its place cold. */
-    void fail(int w) {
-        isBusy[w] = true;
-        backends.get(w).loop().execute(backends.get(w)::crash);
-        steps.scheduleMs(DETECTION_DELAY_MS, () -> publish(w, entries[w].withPhase("DELETED")));
-        steps.scheduleMs(REPLACEMENT_DELAY_MS, () -> returnCold(w));
+    /** Crashes a backend; a cold one replaces it. */
+    void fail(int index) {
+        isBusy[index] = true;
+        backends.get(index).loop().execute(backends.get(index)::crash);
+        steps.scheduleMs(DETECTION_DELAY_MS, () -> publish(index, entries[index].withPhase("DELETED")));
+        steps.scheduleMs(REPLACEMENT_DELAY_MS, () -> returnCold(index));
     }
 
-    /** It drains, ends, and comes back cold. */
-    void restart(int w) throws InterruptedException {
-        isBusy[w] = true;
-        HollowBackend worker = backends.get(w);
-        long change = publish(w, entries[w].withPhase("DRAINING"));
-        worker.loop().execute(() -> worker.drain(change));
-        long limit = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(maxDrainMs);
-        steps.scheduleMs(MIN_DRAIN_MS, () -> awaitDrained(w, limit));
+    /** Drains a backend, stops it and starts it again cold. */
+    void restart(int index) throws InterruptedException {
+        isBusy[index] = true;
+        HollowBackend backend = backends.get(index);
+        long change = publish(index, entries[index].withPhase("DRAINING"));
+        backend.loop().execute(() -> backend.drain(change));
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(maxDrainMs);
+        steps.scheduleMs(MIN_DRAIN_MS, () -> awaitDrained(index, deadlineNanos));
     }
 
-    private void awaitDrained(int w, long limit) {
-        HollowBackend worker = backends.get(w);
+    private void awaitDrained(int index, long deadlineNanos) {
+        HollowBackend backend = backends.get(index);
         steps.scheduleMs(DRAIN_POLL_MS, () -> {
             boolean[] idle = new boolean[1];
-            worker.loop().submit(() -> idle[0] = worker.isIdle()).await();
-            if (!idle[0] && System.nanoTime() < limit) {
-                awaitDrained(w, limit);
+            backend.loop().submit(() -> idle[0] = backend.isIdle()).await();
+            if (!idle[0] && System.nanoTime() < deadlineNanos) {
+                awaitDrained(index, deadlineNanos);
                 return;
             }
-            publish(w, entries[w].withPhase("DELETED"));
-            steps.scheduleMs(DETECTION_DELAY_MS, () -> worker.loop().execute(worker::crash));
-            steps.scheduleMs(RESTART_DELAY_MS, () -> returnCold(w));
+            publish(index, entries[index].withPhase("DELETED"));
+            steps.scheduleMs(DETECTION_DELAY_MS, () -> backend.loop().execute(backend::crash));
+            steps.scheduleMs(RESTART_DELAY_MS, () -> returnCold(index));
         });
     }
 
-    private void returnCold(int w) throws InterruptedException {
-        start(w, true);
-        isBusy[w] = false;
+    private void returnCold(int index) throws InterruptedException {
+        start(index, true);
+        isBusy[index] = false;
     }
 
-    /** Cuts off workers, each for the users of some of its ports; discovery's detectors miss those listed, one by one. */
-    void cut(int[] which, int[] ports, boolean off) {
-        for (int w : which) {
-            HollowBackend worker = backends.get(w);
-            worker.loop().execute(() -> Arrays.stream(ports).forEach(port -> worker.cut(port, off)));
+    /** Cuts off backends for the dispatchers that use some of their ports, or heals the cut. */
+    void setCutOff(int[] indexes, int[] ports, boolean cutOff) {
+        for (int index : indexes) {
+            HollowBackend backend = backends.get(index);
+            backend.loop().execute(() -> Arrays.stream(ports).forEach(port -> backend.setCutOff(port, cutOff)));
         }
     }
 
-    void publishCut(int[] which, boolean off) {
-        for (int i = 0; i < which.length; i++) {
-            int w = which[i];
-            if (off && isBusy[w]) {
+    /** Publishes that backends are cut off, or that they are back, one after the other. */
+    void publishCut(int[] indexes, boolean cutOff) {
+        for (int i = 0; i < indexes.length; i++) {
+            int index = indexes[i];
+            if (cutOff && isBusy[index]) {
                 continue;
             }
-            isBusy[w] = off;
-            steps.scheduleMs(DETECTION_DELAY_MS + DETECTION_SPREAD_MS * i / which.length, () -> publish(w, entries[w].withPhase(off ? "DELETED" : "SERVING")));
+            isBusy[index] = cutOff;
+            steps.scheduleMs(DETECTION_DELAY_MS + DETECTION_SPREAD_MS * i / indexes.length,
+                () -> publish(index, entries[index].withPhase(cutOff ? "DELETED" : "SERVING")));
         }
     }
 }
--- a/src/lab/java/badgermux/scale/HollowDispatcher.java
+++ b/src/lab/java/badgermux/scale/HollowDispatcher.java
@@ -18,21 +18,22 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A dispatcher without clients: the real decision module, engine, discovery client and worker connections, joined as the
- * program joins them, with requests made up here. All is used on one event loop, which it may share.
+ * A dispatcher without clients. It connects the real dispatch policy, engine, discovery client and backend client as the
+ * program does, and generates the requests itself. All state is confined to one event loop, which several may share.
  */
 final class HollowDispatcher {
     private static final byte[] BODY = "x".repeat(200).getBytes(StandardCharsets.US_ASCII);
 
-    /** What became of the requests. */
+    /** Requests by outcome. */
     static final class AnswerCounts {
         long asked;
         long served;
         long synthetic;
         long failed;
-        /** Beyond the one answer that each request gets. */
+        /** Answers after the final answer of a request. */
         long repeated;
 
+        /** Returns the requests without an answer. */
         long lost() {
             return asked - served - synthetic - failed;
         }
@@ -49,19 +50,21 @@
     private final long timeoutMicros;
     private Future<?> alarm;
 
-    HollowDispatcher(EventLoop loop, Config config, int connections, RequestIds ids, AnswerCounts answers, PolicyTimer timed) {
+    HollowDispatcher(EventLoop loop, Config config, int connections, RequestIds ids, AnswerCounts answers,
+            PolicyTimer policyTimer) {
         this.loop = loop;
         this.ids = ids;
         this.answers = answers;
         DispatchPolicy.Settings settings = config.settings();
         timeoutMicros = settings.classes.get(0).clientTimeoutMicros();
         engine = new Engine<>(clock::nowMicros, deadlines, metrics, settings.maxAttempts);
-        HttpBackendClient backends = new HttpBackendClient(loop, deadlines, clock::nowMicros, metrics, engine, config.connectTimeoutMicros(),
-            settings.idleTimeoutMicros, connections, settings.reportMode == DispatchPolicy.ReportMode.ON_PROBE);
-        discovery = new DiscoveryClient(loop, deadlines, clock, metrics, engine, backends, config.discoveryAddress(), config.cachedList(),
-            config.zoneNames(), config.kindNames(), null, null, settings.listPushed);
-        DispatchPolicy module = new DefaultDispatchPolicy(settings, config.seed(), engine);
-        engine.connect(timed.around(module), backends, discovery::watch);
+        HttpBackendClient backends = new HttpBackendClient(loop, deadlines, clock::nowMicros, metrics, engine,
+            config.connectTimeoutMicros(), settings.idleTimeoutMicros, connections,
+            settings.reportMode == DispatchPolicy.ReportMode.ON_PROBE);
+        discovery = new DiscoveryClient(loop, deadlines, clock, metrics, engine, backends, config.discoveryAddress(),
+            config.cachedList(), config.zoneNames(), config.kindNames(), null, null, settings.listPushed);
+        DispatchPolicy policy = new DefaultDispatchPolicy(settings, config.seed(), engine);
+        engine.connect(policyTimer.around(policy), backends, discovery::watch);
     }
 
     void start() {
@@ -72,12 +75,13 @@
         return metrics;
     }
 
-    /** Takes one request of a tenant in. */
+    /** Submits one request of a tenant. */
     void submitRequest(int tenant) {
         String id = ids.next();
         answers.asked++;
-        ForwardedRequest relay = new ForwardedRequest(id, "POST /" + FleetLayout.CLASS + " HTTP/1.1", "X-Request-ID: " + id + "\r\n", BODY, null);
-        engine.submit(new AnswerCounter(), relay, 0, tenant, 1, clock.nowMicros() + timeoutMicros, true);
+        ForwardedRequest forwarded = new ForwardedRequest(id, "POST /" + FleetLayout.CLASS + " HTTP/1.1",
+            "X-Request-ID: " + id + "\r\n", BODY, null);
+        engine.submit(new AnswerCounter(), forwarded, 0, tenant, 1, clock.nowMicros() + timeoutMicros, true);
     }
 
     private void alarm(long at) {
@@ -87,7 +91,7 @@
         alarm = loop.schedule(deadlines::runDue, Math.max(0, at - clock.nowMicros()), TimeUnit.MICROSECONDS);
     }
 
-    /** Counts the answer of one request. */
+    /** Counts the answers to one request. */
     private final class AnswerCounter implements ResponseListener {
         private boolean isAnswered;
 
@@ -95,7 +99,7 @@
             answers.served += countAnswer();
         }
 
-        @Override public void onRefused(long comeBack) {
+        @Override public void onRefused(long retryAfterMicros) {
             answers.synthetic += countAnswer();
         }
 
@@ -103,11 +107,12 @@
             answers.failed += countAnswer();
         }
 
+        /** Returns 1 for the first answer; counts a further one as repeated, and returns 0. */
         private int countAnswer() {
             answers.repeated += isAnswered ? 1 : 0;
-            int counts = isAnswered ? 0 : 1;
+            int count = isAnswered ? 0 : 1;
             isAnswered = true;
-            return counts;
+            return count;
         }
     }
 }
--- a/src/lab/java/badgermux/scale/HollowProcess.java
+++ b/src/lab/java/badgermux/scale/HollowProcess.java
@@ -25,31 +25,41 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * A process of many hollow dispatchers on one event loop. Its plan comes as the first line of standard input; then come
- * the words of {@link Order}, each answered by a line. It ends with its input, so that it outlives nobody.
+ * A process that runs many hollow dispatchers on one event loop. The first line of standard input is its {@link Plan}; each
+ * further line is an {@link Order}, and is answered by one line. The process exits at the end of its input, and therefore
+ * also when its parent dies.
  */
 final class HollowProcess {
-    /** What it is told to do. */
+    /** A command: start the requests, clear the recorded times, stop the requests, or report. */
     enum Order { GO, MARK, QUIET, REPORT }
 
     /**
-     * What one process is to do.
+     * The configuration of one process.
      *
-     * @param first      the number of its first dispatcher
-     * @param configs    the file of each one's GW_CONFIG
-     * @param discovery  the port of each one's discovery
-     * @param starts     how many times they were started before
-     * @param rate       requests a second, all of them together
-     * @param connections to workers, of each dispatcher at most
+     * @param first       the number of the first dispatcher
+     * @param configs     the file for GW_CONFIG of each dispatcher
+     * @param discovery   the port of discovery for each dispatcher
+     * @param starts      how often the dispatchers were started before
+     * @param rate        requests per second, over all dispatchers
+     * @param connections the limit of connections to backends for each dispatcher
      */
     record Plan(int first, List<String> configs, List<Integer> discovery, int starts, double rate, int tenants,
         int connections, long seed) { }
 
-    /** What it has to tell. Times of the loop are how much later than asked for a timer came. */
+    /**
+     * The figures of one process.
+     *
+     * @param lost      requests without an answer so far
+     * @param second    answers after the final one
+     * @param loopLate  delays of a timer on the event loop
+     * @param news      times of the policy for list updates
+     * @param decisions times of the policy for other events
+     */
     record Report(long asked, long served, long synthetic, long failed, long lost, long second, Times loopLate, Times news,
         Times decisions, long heapBytes, Map<Count, Long> counts) { }
 
-    private static final long TICK_MS = 10, MAX_RECORDED_MICROS = 60_000_000;
+    private static final long TICK_MS = 10;
+    private static final long MAX_RECORDED_MICROS = 60_000_000;
     private static final Gson GSON = new Gson();
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -58,7 +68,7 @@
     private final List<HollowDispatcher> dispatchers = new ArrayList<>();
     private final HollowDispatcher.AnswerCounts answers = new HollowDispatcher.AnswerCounts();
     private final PolicyTimer policyTimer = new PolicyTimer();
-    private final Histogram loopLate = new Histogram(MAX_RECORDED_MICROS, 3);
+    private final Histogram loopDelay = new Histogram(MAX_RECORDED_MICROS, 3);
     private final UniformRandomProvider random;
     private final ZigguratSampler.Exponential gaps;
     private Future<?> nextRequest;
@@ -93,6 +103,7 @@
         loop.schedule(this::tick, TICK_MS, TimeUnit.MILLISECONDS);
     }
 
+    /** Executes an order and returns the line that answers it. */
     private String execute(Order order) throws Exception {
         switch (order) {
             case GO -> loop.submit(this::startRequests).get();
@@ -107,15 +118,15 @@
     }
 
     private void resetTimes() {
-        loopLate.reset();
+        loopDelay.reset();
         policyTimer.listUpdates.reset();
         policyTimer.otherEvents.reset();
     }
 
-    /** How late the loop comes to what is due: what a stall does to all that it serves. */
+    /** Measures the delay of a periodic timer, which shows how long the event loop is stalled. */
     private void tick() {
         long now = System.nanoTime();
-        loopLate.recordValue(Math.min(MAX_RECORDED_MICROS, Math.max(0, (now - tickDue) / 1_000)));
+        loopDelay.recordValue(Math.min(MAX_RECORDED_MICROS, Math.max(0, (now - tickDue) / 1_000)));
         tickDue = now + TimeUnit.MILLISECONDS.toNanos(TICK_MS);
         loop.schedule(this::tick, TICK_MS, TimeUnit.MILLISECONDS);
     }
@@ -125,7 +136,7 @@
         scheduleRequest();
     }
 
-    /** Guards against a stall that requests are spared: they come when they are due, however late the last one was. */
+    /** Schedules the next request relative to the due time of the last one, so a stall does not reduce the rate. */
     private void scheduleRequest() {
         requestDue += (long) (gaps.sample() * 1e9 / plan.rate);
         nextRequest = loop.schedule(this::request, Math.max(0, requestDue - System.nanoTime()), TimeUnit.NANOSECONDS);
@@ -146,10 +157,11 @@
         }
         counts.values().removeIf(count -> count == 0);
         return new Report(answers.asked, answers.served, answers.synthetic, answers.failed, answers.lost(), answers.repeated,
-            Times.ofMicros(loopLate), Times.ofMicros(policyTimer.listUpdates), Times.ofMicros(policyTimer.otherEvents), heap, counts);
+            Times.ofMicros(loopDelay), Times.ofMicros(policyTimer.listUpdates), Times.ofMicros(policyTimer.otherEvents), heap,
+            counts);
     }
 
-    /** What is left on the heap after a collection. */
+    /** Returns the size of the heap after a garbage collection. */
     private static long heapBytes() {
         System.gc();
         return ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed();
--- a/src/lab/java/badgermux/scale/HollowProcessHandle.java
+++ b/src/lab/java/badgermux/scale/HollowProcessHandle.java
@@ -9,7 +9,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.TimeUnit;
 
-/** The handle of a {@link HollowProcess}: it ends when this end closes, or dies. */
+/** A handle of a {@link HollowProcess}, which exits when the handle is closed or this process dies. */
 final class HollowProcessHandle implements Closeable {
     private static final int EXIT_TIMEOUT_SECONDS = 10;
     private static final Gson GSON = new Gson();
@@ -34,16 +34,17 @@
         return process.pid();
     }
 
-    /** Gives an order and waits until it is carried out. */
+    /** Sends an order, waits until it is executed and returns the answer. */
     String order(HollowProcess.Order order) throws IOException {
         writeLine(order.name());
         String answer = answers.readLine();
         if (answer == null) {
-            throw new IOException("a process of hollow dispatchers has ended");
+            throw new IOException("a process of hollow dispatchers has exited");
         }
         return answer;
     }
 
+    /** Returns the figures of the process. */
     HollowProcess.Report report() throws IOException {
         return GSON.fromJson(order(HollowProcess.Order.REPORT), HollowProcess.Report.class);
     }
--- a/src/lab/java/badgermux/scale/HttpServerConnection.java
+++ b/src/lab/java/badgermux/scale/HttpServerConnection.java
@@ -10,7 +10,7 @@
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import io.netty.channel.ChannelOption;
 
-/** A connection that a stand-in accepted: it tells of whole requests, and with how many bytes each came. */
+/** A connection accepted by a hollow backend or by discovery. Reports each complete request with its size in bytes. */
 abstract class HttpServerConnection extends ChannelInboundHandlerAdapter implements MessageReader.Listener {
     private static final int NO_LINGER = 0;
 
@@ -19,23 +19,24 @@
     private MessageHead head;
     private long bytes;
 
-    /** A request is whole; called on the connection's event loop. */
+    /** Called on the event loop of the connection for each complete request. */
     abstract void onRequest(MessageHead head, long bytes);
 
-    /** The connection has ended. */
+    /** Called when the connection has closed. */
     abstract void onClosed();
 
-    /** Sends bytes; the connection may have ended. */
+    /** Sends bytes; has no effect if the connection has closed. */
     final ChannelFuture write(ByteBuf message) {
         return channel.writeAndFlush(message);
     }
 
+    /** Closes the connection with a TCP reset. */
     final void reset() {
         channel.config().setOption(ChannelOption.SO_LINGER, NO_LINGER);
         channel.close();
     }
 
-    /** Stops reading: who is at the other end hears nothing more, and its connection stays open. */
+    /** Stops reading: the peer gets no further responses, and its connection stays open. */
     final void stopReading() {
         channel.config().setAutoRead(false);
     }
@@ -49,9 +50,9 @@
         try {
             while (in.isReadable()) {
                 int before = in.readableBytes();
-                boolean whole = reader.read(in);
+                boolean complete = reader.read(in);
                 bytes += before - in.readableBytes();
-                if (whole) {
+                if (complete) {
                     long size = bytes;
                     bytes = 0;
                     onRequest(head, size);
@@ -75,6 +76,6 @@
     }
 
     @Override public final void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        ctx.close();    // the other end has reset it
+        ctx.close();    // the peer has reset the connection
     }
 }
--- a/src/lab/java/badgermux/scale/LoadGenerator.java
+++ b/src/lab/java/badgermux/scale/LoadGenerator.java
@@ -18,17 +18,26 @@
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** The clients of one real dispatcher: requests at a rate, and a look at its health every so often, which times its loop. */
+/**
+ * The clients of one real dispatcher. They send requests at a mean rate, and measure the response time of GET /healthz, which
+ * shows delays of the event loop.
+ */
 final class LoadGenerator {
-    private static final long HEALTH_INTERVAL_MS = 250, RESPONSE_GRACE_MS = 5_000, MAX_RECORDED_MICROS = 60_000_000;
+    private static final long HEALTH_INTERVAL_MS = 250;
+    private static final long RESPONSE_GRACE_MS = 5_000;
+    private static final long MAX_RECORDED_MICROS = 60_000_000;
     private static final String BODY = "x".repeat(200);
 
-    final AtomicLong asked = new AtomicLong(), served = new AtomicLong(), synthetic = new AtomicLong();
-    final AtomicLong failed = new AtomicLong(), lost = new AtomicLong(), resent = new AtomicLong();
+    final AtomicLong asked = new AtomicLong();
+    final AtomicLong served = new AtomicLong();
+    final AtomicLong synthetic = new AtomicLong();
+    final AtomicLong failed = new AtomicLong();
+    final AtomicLong lost = new AtomicLong();
+    final AtomicLong resent = new AtomicLong();
     final Histogram health = new ConcurrentHistogram(MAX_RECORDED_MICROS, 3);
     private final HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
-    private final ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor(work -> {
-        Thread thread = new Thread(work, "clients");
+    private final ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor(task -> {
+        Thread thread = new Thread(task, "clients");
         thread.setDaemon(true);
         return thread;
     });
@@ -37,9 +46,10 @@
     private final ZigguratSampler.Exponential gaps;
     private final double rate;
     private final long timeoutMs;
-    private volatile boolean quiet;
+    private volatile boolean isPaused;
     private long requestDue;
 
+    /** {@code dispatcher} supplies the process to use, which changes with a restart; {@code number} is its number. */
     LoadGenerator(Supplier<RealDispatcher> to, int number, double rate, long giveUpMs, long seed) {
         this.dispatcher = to;
         this.rate = rate;
@@ -55,11 +65,12 @@
         timer.scheduleWithFixedDelay(this::probeHealth, HEALTH_INTERVAL_MS, HEALTH_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Asks nothing more from here on, or again. */
-    void quiet(boolean is) {
-        quiet = is;
+    /** Stops sending requests, or resumes. */
+    void setPaused(boolean paused) {
+        isPaused = paused;
     }
 
+    /** Returns the number of requests without an outcome. */
     long openCount() {
         return asked.get() - served.get() - synthetic.get() - failed.get() - lost.get();
     }
@@ -75,25 +86,28 @@
 
     private void request() {
         scheduleRequest();
-        if (!quiet) {
+        if (!isPaused) {
             asked.incrementAndGet();
             send(ids.next(), true);
         }
     }
 
-    private void send(String id, boolean first) {
-        HttpRequest request = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + dispatcher.get().port() + "/" + FleetLayout.CLASS))
-            .timeout(Duration.ofMillis(timeoutMs + RESPONSE_GRACE_MS)).header("X-Request-ID", id).header("X-Timeout", timeoutMs + "m")
-            .POST(HttpRequest.BodyPublishers.ofString(BODY)).build();
+    private void send(String id, boolean maySendAgain) {
+        HttpRequest request = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + dispatcher.get().port() + "/"
+            + FleetLayout.CLASS)).timeout(Duration.ofMillis(timeoutMs + RESPONSE_GRACE_MS)).header("X-Request-ID", id)
+            .header("X-Timeout", timeoutMs + "m").POST(HttpRequest.BodyPublishers.ofString(BODY)).build();
         client.sendAsync(request, HttpResponse.BodyHandlers.ofString())
-            .whenComplete((response, error) -> handleResponse(id, first, response, error));
+            .whenComplete((response, error) -> handleResponse(id, maySendAgain, response, error));
     }
 
-    /** A close between requests may cross one: the platform's clients send it once more then. */
-    private void handleResponse(String id, boolean first, HttpResponse<String> response, Throwable error) {
+    /**
+     * Counts a response, or sends the request once more after an error other than a timeout: a dispatcher may close an idle
+     * connection while a request is on its way, and the platform's clients repeat the request then.
+     */
+    private void handleResponse(String id, boolean maySendAgain, HttpResponse<String> response, Throwable error) {
         if (response != null) {
             count(response.statusCode());
-        } else if (first && !(cause(error) instanceof HttpTimeoutException)) {
+        } else if (maySendAgain && !(cause(error) instanceof HttpTimeoutException)) {
             resent.incrementAndGet();
             send(id, false);
         } else {
@@ -110,13 +124,13 @@
     }
 
     private void probeHealth() {
-        if (quiet) {
+        if (isPaused) {
             return;
         }
-        long from = System.nanoTime();
+        long startNanos = System.nanoTime();
         HttpRequest request = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + dispatcher.get().port() + "/healthz"))
             .timeout(Duration.ofMillis(RESPONSE_GRACE_MS)).build();
         client.sendAsync(request, HttpResponse.BodyHandlers.discarding()).thenAccept(response ->
-            health.recordValue(Math.min(MAX_RECORDED_MICROS, (System.nanoTime() - from) / 1_000)));
+            health.recordValue(Math.min(MAX_RECORDED_MICROS, (System.nanoTime() - startNanos) / 1_000)));
     }
 }
--- a/src/lab/java/badgermux/scale/RealDispatcher.java
+++ b/src/lab/java/badgermux/scale/RealDispatcher.java
@@ -10,7 +10,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** A real dispatcher of the built jar, started as {@code deploy/balancer.toml} says. */
+/** A real dispatcher of the built jar, started with the command in {@code deploy/balancer.toml}. */
 final class RealDispatcher implements Closeable {
     private static final Pattern RUN = Pattern.compile("^run = \"(.*)\"$", Pattern.MULTILINE);
     private static final Pattern PORT = Pattern.compile("listens on .*:(\\d+)$");
@@ -23,7 +23,7 @@
         this.number = number;
         Matcher run = RUN.matcher(Files.readString(Path.of("deploy", "balancer.toml")));
         if (!run.find()) {
-            throw new IOException("deploy/balancer.toml has no run");
+            throw new IOException("deploy/balancer.toml has no key \"run\"");
         }
         ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", run.group(1));
         builder.environment().put("GW_LISTEN", "127.0.0.1:0");
@@ -33,7 +33,7 @@
         process = builder.redirectOutput(ProcessBuilder.Redirect.DISCARD).start();
         BufferedReader log = process.errorReader(StandardCharsets.UTF_8);
         port = awaitPort(log);
-        // A full pipe would hold up whoever writes to it.
+        // Keeps reading the log: a full pipe would block the dispatcher.
         Thread reader = new Thread(() -> log.lines().forEach(line -> { }), "log of dispatcher " + number);
         reader.setDaemon(true);
         reader.start();
@@ -46,7 +46,7 @@
                 return Integer.parseInt(matcher.group(1));
             }
         }
-        throw new IOException("dispatcher " + number + " did not start");
+        throw new IOException("dispatcher " + number + " did not start: its log ended without a listening address");
     }
 
     long pid() {
@@ -57,12 +57,13 @@
         return port;
     }
 
-    /** Has it end as at a planned restart: it answers what it has taken first. */
+    /** Asks the process to exit, as for a planned restart: it answers its open requests first. */
     void terminate() {
         process.destroy();
     }
 
-    boolean awaitEnd(long millis) throws InterruptedException {
+    /** Waits for the process to exit, and returns whether it did. */
+    boolean awaitExit(long millis) throws InterruptedException {
         return process.waitFor(millis, TimeUnit.MILLISECONDS);
     }
 
--- a/src/lab/java/badgermux/scale/RequestIds.java
+++ b/src/lab/java/badgermux/scale/RequestIds.java
@@ -2,14 +2,14 @@
 
 import java.util.Locale;
 
-/** Request ids: 16 hexadecimal digits, the first of which tell the dispatcher. */
+/** Generates request ids of 16 hexadecimal digits, the first of which are the number of the dispatcher. */
 final class RequestIds {
     static final int DISPATCHER_DIGITS = 4;
 
     private final int dispatcher;
     private long next;
 
-    /** {@code start} counts the dispatcher's starts: the ids of one before are not used again. */
+    /** {@code start} is the number of earlier starts of the dispatcher; ids of different starts differ. */
     RequestIds(int dispatcher, int start) {
         this.dispatcher = dispatcher;
         next = (long) start << 32;
--- a/src/lab/java/badgermux/scale/ScaleCommand.java
+++ b/src/lab/java/badgermux/scale/ScaleCommand.java
@@ -12,17 +12,19 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 
-/** The command line of a scale run. Exit status: 0 passed, 1 a fault was found, 2 bad options, 3 it took far too long. */
+/** The command line of a scale run. Exit status: 0 passed, 1 faults found, 2 invalid options, 3 timeout. */
 @Command(name = "scale", mixinStandardHelpOptions = true, sortOptions = false,
-    description = "Runs hollow dispatchers and workers beside real dispatchers, and measures what it costs.")
+    description = "Runs hollow dispatchers and backends beside real dispatchers, and measures their cost.")
 public final class ScaleCommand implements Callable<Integer> {
-    private static final int EXIT_FAULT_FOUND = 1, EXIT_TIMEOUT = 3;
+    private static final int EXIT_FAULT_FOUND = 1;
+    private static final int EXIT_TIMEOUT = 3;
+    /** Time beyond the planned length of a run after which the process exits. */
     private static final long EXTRA_SECONDS = 900;
 
     @Mixin private ScaleOptions options;
-    @Option(names = "--json", paramLabel = "FILE", description = "where the result goes")
+    @Option(names = "--json", paramLabel = "FILE", description = "file for the result as JSON, instead of standard output")
     private Path json;
-    @Option(names = "--plot", paramLabel = "FILE.svg", description = "where a plot goes")
+    @Option(names = "--plot", paramLabel = "FILE.svg", description = "file for a plot of the traffic")
     private Path plot;
     private final String command;
 
@@ -41,7 +43,7 @@
     @Override public Integer call() throws Exception {
         startWatchdog();
         ScaleRun run = new ScaleRun(options, System.err);
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> close(run), "end"));
+        Runtime.getRuntime().addShutdownHook(new Thread(() -> close(run), "close"));
         ScaleResult result = run.run(command, commit());
         if (json != null) {
             Files.writeString(json, result.json() + "\n");
@@ -63,22 +65,23 @@
         }
     }
 
-    /** Guards against a run that waits for what does not come. */
+    /** Exits the process if the run hangs. */
     private void startWatchdog() {
         long limit = options.warmUp + options.seconds + 4 * options.giveUpMs() / 1_000 + EXTRA_SECONDS;
-        Thread guard = new Thread(() -> {
+        Thread watchdog = new Thread(() -> {
             try {
                 TimeUnit.SECONDS.sleep(limit);
-                System.err.println("scale: not over after " + limit + " s");
+                System.err.println("scale: timed out after " + limit + " s");
                 System.exit(EXIT_TIMEOUT);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
-        }, "guard");
-        guard.setDaemon(true);
-        guard.start();
+        }, "watchdog");
+        watchdog.setDaemon(true);
+        watchdog.start();
     }
 
+    /** Returns the abbreviated hash of the checked-out commit, or "unknown". */
     private static String commit() throws IOException, InterruptedException {
         Process git = new ProcessBuilder("git", "rev-parse", "--short", "HEAD").redirectError(ProcessBuilder.Redirect.DISCARD)
             .start();
--- a/src/lab/java/badgermux/scale/ScaleOptions.java
+++ b/src/lab/java/badgermux/scale/ScaleOptions.java
@@ -2,62 +2,67 @@
 
 import picocli.CommandLine.Option;
 
-/** What a scale run is told; the result repeats it, so that a run can be had again. */
+/** The options of a scale run. The result contains them, to make a run repeatable. */
 public class ScaleOptions {
-    /** What happens during a run. Ladders are runs of ordinary churn, told apart by name only. */
+    /** What happens during a run. The ladders and the peak are runs with churn only, and differ by name. */
     public enum Scenario { LADDER_WORKERS, LADDER_DISPATCHERS, PEAK, CHURN, RACK, ZONE, REGION, RESTART, ANEW }
 
-    @Option(names = "--workers", description = "hollow workers (${DEFAULT-VALUE})")
+    @Option(names = "--workers", description = "number of hollow backends (${DEFAULT-VALUE})")
     int workers = 60;
-    @Option(names = "--dispatchers", description = "hollow dispatchers (${DEFAULT-VALUE})")
+    @Option(names = "--dispatchers", description = "number of hollow dispatchers (${DEFAULT-VALUE})")
     int dispatchers = 30;
-    @Option(names = "--real", description = "real dispatchers of the built jar (${DEFAULT-VALUE})")
+    @Option(names = "--real", description = "number of real dispatchers of the built jar (${DEFAULT-VALUE})")
     int real = 3;
-    @Option(names = "--per-process", description = "hollow dispatchers in one process (${DEFAULT-VALUE})")
+    @Option(names = "--per-process", description = "hollow dispatchers per process (${DEFAULT-VALUE})")
     int perProcess = 100;
-    @Option(names = "--tenants", description = "tenants with a quota each (${DEFAULT-VALUE})")
+    @Option(names = "--tenants", description = "number of tenants, each with a quota (${DEFAULT-VALUE})")
     int tenants = 190;
-    @Option(names = "--rate", description = "task starts a second, all dispatchers together (${DEFAULT-VALUE})")
+    @Option(names = "--rate", description = "requests per second, over all dispatchers (${DEFAULT-VALUE})")
     double rate = 100;
-    @Option(names = "--running", description = "tasks running at once on average (${DEFAULT-VALUE})")
+    @Option(names = "--running", description = "mean number of requests running at the same time (${DEFAULT-VALUE})")
     double running = 50;
-    @Option(names = "--seconds", description = "length of the measured part (${DEFAULT-VALUE})")
+    @Option(names = "--seconds", description = "length of the measured part in seconds (${DEFAULT-VALUE})")
     int seconds = 30;
-    @Option(names = "--warm-up", description = "seconds before the measured part (${DEFAULT-VALUE})")
+    @Option(names = "--warm-up", description = "length of the warm-up before the measured part in seconds (${DEFAULT-VALUE})")
     int warmUp = 10;
-    @Option(names = "--churn", description = "churn as a multiple of the ordinary day (${DEFAULT-VALUE})")
+    @Option(names = "--churn", description = "churn, as a multiple of an ordinary day (${DEFAULT-VALUE})")
     double churn = 100;
-    @Option(names = "--fails-a-day", description = "machines that fail on the ordinary day (${DEFAULT-VALUE})")
+    @Option(names = "--fails-a-day", description = "machines that fail on an ordinary day (${DEFAULT-VALUE})")
     double failsADay = 51;
-    @Option(names = "--restarts-a-day", description = "machines restarted on the ordinary day (${DEFAULT-VALUE})")
+    @Option(names = "--restarts-a-day", description = "machines that restart on an ordinary day (${DEFAULT-VALUE})")
     double restartsADay = 190;
-    @Option(names = "--rack", description = "workers in a rack (${DEFAULT-VALUE})")
+    @Option(names = "--rack", description = "number of backends in a rack (${DEFAULT-VALUE})")
     int rack = 40;
-    @Option(names = "--cut-seconds", description = "how long a rack, zone or region is cut off (${DEFAULT-VALUE})")
+    @Option(names = "--cut-seconds",
+        description = "time for which a rack, zone or region is cut off, in seconds (${DEFAULT-VALUE})")
     int cutSeconds = 60;
-    @Option(names = "--list-delay-ms", description = "how late discovery answers (${DEFAULT-VALUE})")
+    @Option(names = "--list-delay-ms", description = "delay of discovery's answers in milliseconds (${DEFAULT-VALUE})")
     int listDelayMs;
-    @Option(names = "--list-drop", description = "share of discovery's answers that are a reset instead (${DEFAULT-VALUE})")
+    @Option(names = "--list-drop",
+        description = "share of discovery's answers that are replaced by a connection reset (${DEFAULT-VALUE})")
     double listDrop;
-    @Option(names = "--scenario", description = "ladder-workers, ladder-dispatchers, peak, churn, rack, zone, region, restart, anew (${DEFAULT-VALUE})")
+    @Option(names = "--scenario", description = "ladder-workers, ladder-dispatchers, peak, churn, rack, zone, region,"
+        + " restart, anew (${DEFAULT-VALUE})")
     Scenario scenario = Scenario.CHURN;
-    @Option(names = "--seed", description = "of all random numbers (${DEFAULT-VALUE})")
+    @Option(names = "--seed", description = "seed of all random numbers (${DEFAULT-VALUE})")
     long seed = 1;
 
+    /** Returns the number of hollow and real dispatchers. */
     int allDispatchers() {
         return dispatchers + real;
     }
 
-    /** How long a task runs on average on a warm worker, in milliseconds. */
+    /** Returns the mean run time of a request on a warm backend, in milliseconds. */
     double meanRunMs() {
         return 1_000 * running / rate;
     }
 
-    /** How long a client waits for its answer, in milliseconds: the longest run three times over, and five seconds. */
+    /** Returns the timeout of a client in milliseconds: three times the longest run, and five seconds. */
     long giveUpMs() {
         return (long) (3 * FleetLayout.MAX_RUN_FACTOR * meanRunMs()) + 5_000;
     }
 
+    /** Whether the scenario cuts off a part of the fleet. */
     boolean cuts() {
         return scenario == Scenario.RACK || scenario == Scenario.ZONE || scenario == Scenario.REGION;
     }
--- a/src/lab/java/badgermux/scale/ScaleRun.java
+++ b/src/lab/java/badgermux/scale/ScaleRun.java
@@ -23,14 +23,28 @@
 import java.util.function.Function;
 import java.util.function.ToLongFunction;
 
-/** One scale run, from the start of all parts to the result. Closing it ends all that it started. */
+/** One scale run, from the start of all processes to the result. Closing it ends all processes and threads that it started. */
 public final class ScaleRun implements Closeable {
-    private static final int BACKEND_LOOPS = 2, MAX_PROCESSES = 200, MIN_CONNECTIONS = 24;
-    /** Descriptors of this process for the workers' listeners and ends of connections; some close late, when all is busy. */
+    private static final int BACKEND_LOOPS = 2;
+    private static final int MAX_PROCESSES = 200;
+    private static final int MIN_CONNECTIONS = 24;
+    /** The descriptors of this process for the listeners and connections of the backends, some of which close late under load. */
     private static final int DESCRIPTORS = 16_000;
-    private static final int MAX_CONNECTIONS = 600, REAL_MB = 192, OWN_MB = 2_048, PROCESS_BASE_MB = 96, MAX_HEAP_MB = 2_048;
+    private static final int MAX_CONNECTIONS = 600;
+    /** Memory of a real dispatcher. */
+    private static final int REAL_MB = 192;
+    /** Memory of this process. */
+    private static final int OWN_MB = 2_048;
+    /** Memory of a process of hollow dispatchers beyond its heap, and the heap beyond its lists. */
+    private static final int PROCESS_BASE_MB = 96;
+    private static final int MAX_HEAP_MB = 2_048;
+    /** Memory of one entry of the backend list in one hollow dispatcher. */
     private static final double MB_PER_BACKEND_AND_DISPATCHER = 0.002;
-    private static final long START_TIMEOUT_MS = 180_000, CONVERGENCE_TIMEOUT_MS = 60_000, POLL_INTERVAL_MS = 100, SECOND_MS = 1_000, BYTES_PER_MB = 1 << 20;
+    private static final long START_TIMEOUT_MS = 180_000;
+    private static final long CONVERGENCE_TIMEOUT_MS = 60_000;
+    private static final long POLL_INTERVAL_MS = 100;
+    private static final long SECOND_MS = 1_000;
+    private static final long BYTES_PER_MB = 1 << 20;
     private static final int PROGRESS_INTERVAL_SECONDS = 5;
 
     private final ScaleOptions options;
@@ -57,7 +71,7 @@
     private double restartMs;
     private int startCount;
 
-    /** Gets ready; nothing is started yet. {@code progress} is told how it goes. */
+    /** Prepares a run without starting it. Progress messages go to {@code progress}. */
     public ScaleRun(ScaleOptions options, PrintStream progress) throws IOException {
         this.options = options;
         this.progress = progress;
@@ -70,12 +84,12 @@
         real = new RealDispatcher[options.real];
     }
 
-    /** The whole run; {@code command} and {@code commit} are for its result. */
+    /** Performs the run. {@code command} and {@code commit} are copied to the result. */
     public ScaleResult run(String command, String commit) throws IOException, InterruptedException {
         String started = Instant.now().toString();
         double load = ManagementFactory.getOperatingSystemMXBean().getSystemLoadAverage();
         checkSize();
-        startStandIns();
+        startDiscoveryAndBackends();
         startDispatchers();
         for (int d = 0; d < options.real; d++) {
             int number = d;
@@ -86,7 +100,7 @@
         Measurement before = measure();
         long firstChange = propagation.startMeasuring();
         orderAll(HollowProcess.Order.MARK);
-        clients.forEach(of -> of.health.reset());
+        clients.forEach(client -> client.health.reset());
         faultInjector.start();
         runMeasuredPart();
         Measurement after = measure();
@@ -95,6 +109,7 @@
         return result(started, load, command, commit, before, after, firstChange);
     }
 
+    /** Returns the requests per second of one dispatcher. */
     private double ratePerDispatcher() {
         return options.rate / options.allDispatchers();
     }
@@ -108,49 +123,53 @@
         return (options.dispatchers + options.perProcess - 1) / options.perProcess;
     }
 
-    /** Half of the machine's memory, and so many processes, at most. */
+    /** Rejects a run that needs more than half of the memory of the machine, or too many processes. */
     private void checkSize() throws IOException {
-        long needed = OWN_MB + (long) childCount() * (childHeapMb() + PROCESS_BASE_MB) + (long) options.real * REAL_MB;
-        long machine = Files.readAllLines(Path.of("/proc/meminfo")).stream().filter(line -> line.startsWith("MemTotal:"))
+        long neededMb = OWN_MB + (long) childCount() * (childHeapMb() + PROCESS_BASE_MB) + (long) options.real * REAL_MB;
+        long machineMb = Files.readAllLines(Path.of("/proc/meminfo")).stream().filter(line -> line.startsWith("MemTotal:"))
             .mapToLong(line -> Long.parseLong(line.replaceAll("\\D", "")) / 1024).findFirst().orElse(0);
-        if (needed > machine / 2 || childCount() + options.real > MAX_PROCESSES) {
-            throw new IllegalArgumentException("needs " + needed + " MB of " + machine + " and " + (childCount() + options.real)
-                + " processes: more than half of the memory, or than " + MAX_PROCESSES);
+        if (neededMb > machineMb / 2 || childCount() + options.real > MAX_PROCESSES) {
+            throw new IllegalArgumentException("run is too large: it needs " + neededMb + " MB of " + machineMb + " MB and "
+                + (childCount() + options.real) + " processes; limits are half of the memory and " + MAX_PROCESSES
+                + " processes");
         }
     }
 
-    private void startStandIns() throws IOException, InterruptedException {
+    private void startDiscoveryAndBackends() throws IOException, InterruptedException {
         for (int d = 0; d < options.allDispatchers(); d++) {
             discoveryPorts.add(discovery.listen(d));
             configs.add(Files.writeString(folder.resolve("config-" + d + ".json"), layout.config(d)));
         }
         backends.startAll();
-        printProgress(options.workers + " workers listen");
+        printProgress(options.workers + " backends are listening");
     }
 
     private void startDispatchers() throws IOException, InterruptedException {
-        long from = System.nanoTime();
+        long startNanos = System.nanoTime();
         for (int d = 0; d < options.real; d++) {
             real[d] = new RealDispatcher(d, configs.get(d), discoveryPorts.get(d));
         }
         for (int first = options.real; first < options.allDispatchers(); first += options.perProcess) {
             int end = Math.min(options.allDispatchers(), first + options.perProcess);
             children.add(new HollowProcessHandle(new HollowProcess.Plan(first,
-                configs.subList(first, end).stream().map(Path::toString).toList(), List.copyOf(discoveryPorts.subList(first, end)),
-                startCount, ratePerDispatcher() * (end - first), options.tenants, connectionsPerDispatcher(), options.seed + startCount), childHeapMb()));
+                configs.subList(first, end).stream().map(Path::toString).toList(),
+                List.copyOf(discoveryPorts.subList(first, end)),
+                startCount, ratePerDispatcher() * (end - first), options.tenants, connectionsPerDispatcher(),
+                options.seed + startCount), childHeapMb()));
         }
         startCount++;
         if (!await(this::allUpToDate, START_TIMEOUT_MS)) {
-            throw new IOException("only " + propagation.upToDateCount() + " dispatchers have the list");
+            throw new IOException("timed out: only " + propagation.upToDateCount() + " dispatchers have the backend list");
         }
-        restartMs = startCount == 1 ? 0 : (System.nanoTime() - from) / 1e6;
-        printProgress("all dispatchers have the list after " + (System.nanoTime() - from) / 1_000_000 + " ms");
+        restartMs = startCount == 1 ? 0 : (System.nanoTime() - startNanos) / 1e6;
+        printProgress("all dispatchers have the backend list after " + (System.nanoTime() - startNanos) / 1_000_000 + " ms");
         orderAll(HollowProcess.Order.GO);
     }
 
+    /** Returns how many connections to backends a dispatcher may have. */
     private int connectionsPerDispatcher() {
-        int all = DESCRIPTORS - options.workers * layout.portsPerBackend();
-        return Math.max(MIN_CONNECTIONS, Math.min(MAX_CONNECTIONS, all / options.allDispatchers()));
+        int connections = DESCRIPTORS - options.workers * layout.portsPerBackend();
+        return Math.max(MIN_CONNECTIONS, Math.min(MAX_CONNECTIONS, connections / options.allDispatchers()));
     }
 
     private boolean allUpToDate() {
@@ -163,19 +182,22 @@
         }
     }
 
+    /** Waits for the length of the measured part, and takes a sample each second. */
     private void runMeasuredPart() throws IOException, InterruptedException {
-        long from = System.nanoTime();
+        long startNanos = System.nanoTime();
         Map<TrafficCounter.Purpose, TrafficCounter.Bytes> last = traffic.sums();
         for (int second = 1; second <= options.seconds; second++) {
-            long due = from + second * TimeUnit.SECONDS.toNanos(1);
+            long due = startNanos + second * TimeUnit.SECONDS.toNanos(1);
             TimeUnit.NANOSECONDS.sleep(Math.max(0, due - System.nanoTime()));
             Map<TrafficCounter.Purpose, TrafficCounter.Bytes> sums = traffic.sums();
             samples.add(new ScaleResult.Sample(second, bytesPerDispatcher(sums, last, TrafficCounter.Purpose.LISTS),
-                bytesPerDispatcher(sums, last, TrafficCounter.Purpose.PROBES), bytesPerDispatcher(sums, last, TrafficCounter.Purpose.ATTEMPTS), propagation.upToDateCount()));
+                bytesPerDispatcher(sums, last, TrafficCounter.Purpose.PROBES),
+                bytesPerDispatcher(sums, last, TrafficCounter.Purpose.ATTEMPTS), propagation.upToDateCount()));
             last = sums;
             if (second % PROGRESS_INTERVAL_SECONDS == 0) {
-                printProgress(second + " of " + options.seconds + " s, " + propagation.changes() + " changes, " + propagation.upToDateCount() + " of "
-                    + options.allDispatchers() + " up to date, " + rules.result().sends() + " sends");
+                printProgress(second + " of " + options.seconds + " s, " + propagation.changeCount() + " changes, "
+                    + propagation.upToDateCount() + " of " + options.allDispatchers() + " dispatchers up to date, "
+                    + rules.result().sends() + " sends");
             }
             if (options.scenario == ScaleOptions.Scenario.RESTART && second == options.seconds / 2) {
                 restartAll();
@@ -183,22 +205,22 @@
         }
     }
 
-    private double bytesPerDispatcher(Map<TrafficCounter.Purpose, TrafficCounter.Bytes> now, Map<TrafficCounter.Purpose, TrafficCounter.Bytes> before,
-            TrafficCounter.Purpose purpose) {
+    private double bytesPerDispatcher(Map<TrafficCounter.Purpose, TrafficCounter.Bytes> now,
+            Map<TrafficCounter.Purpose, TrafficCounter.Bytes> before, TrafficCounter.Purpose purpose) {
         TrafficCounter.Bytes bytes = now.get(purpose).minus(before.get(purpose));
         return (double) (bytes.in() + bytes.out()) / options.allDispatchers();
     }
 
-    /** As at a planned restart of all: each answers what it has taken, ends, and starts anew without a list. */
+    /** Restarts all dispatchers as planned: each answers its open requests, exits, and starts again without a list. */
     private void restartAll() throws IOException, InterruptedException {
         pauseClients(true);
-        for (RealDispatcher one : real) {
-            one.terminate();
+        for (RealDispatcher dispatcher : real) {
+            dispatcher.terminate();
         }
         endChildren();
-        for (RealDispatcher one : real) {
-            if (!one.awaitEnd(options.giveUpMs() + CONVERGENCE_TIMEOUT_MS)) {
-                throw new IOException("dispatcher " + one.number + " does not end");
+        for (RealDispatcher dispatcher : real) {
+            if (!dispatcher.awaitExit(options.giveUpMs() + CONVERGENCE_TIMEOUT_MS)) {
+                throw new IOException("dispatcher " + dispatcher.number + " did not exit in time");
             }
         }
         for (int d = 0; d < options.allDispatchers(); d++) {
@@ -208,17 +230,17 @@
         pauseClients(false);
     }
 
-    private void pauseClients(boolean is) {
-        clients.forEach(of -> of.quiet(is));
+    private void pauseClients(boolean paused) {
+        clients.forEach(client -> client.setPaused(paused));
     }
 
-    /** Waits until all requests are answered, bounded by how long their clients wait, and ends the processes. */
+    /** Waits until all requests are answered, at most for the client timeout, and ends the processes of hollow dispatchers. */
     private void endChildren() throws IOException, InterruptedException {
         orderAll(HollowProcess.Order.QUIET);
-        long limit = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(options.giveUpMs() + SECOND_MS);
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(options.giveUpMs() + SECOND_MS);
         for (HollowProcessHandle child : children) {
             HollowProcess.Report report = child.report();
-            while (report.lost() > 0 && System.nanoTime() < limit) {
+            while (report.lost() > 0 && System.nanoTime() < deadlineNanos) {
                 TimeUnit.MILLISECONDS.sleep(SECOND_MS);
                 report = child.report();
             }
@@ -230,18 +252,19 @@
         children.clear();
     }
 
-    /** Waits until the last change is in force everywhere, and all is answered. */
+    /** Waits until the last change is in force in all dispatchers and all requests are answered. */
     private void finish() throws IOException, InterruptedException {
-        printProgress("the measured part is over");
+        printProgress("the measured part has ended");
         await(() -> steps.isSettled() && allUpToDate(), options.giveUpMs() + CONVERGENCE_TIMEOUT_MS);
         pauseClients(true);
-        await(() -> clients.stream().allMatch(of -> of.openCount() == 0), options.giveUpMs() + 10 * SECOND_MS);
+        await(() -> clients.stream().allMatch(client -> client.openCount() == 0), options.giveUpMs() + 10 * SECOND_MS);
         endChildren();
     }
 
-    private boolean await(BooleanSupplier condition, long limitMs) throws InterruptedException {
-        long limit = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(limitMs);
-        while (!condition.getAsBoolean() && System.nanoTime() < limit) {
+    /** Waits for a condition, and returns whether it is met. */
+    private boolean await(BooleanSupplier condition, long timeoutMs) throws InterruptedException {
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMs);
+        while (!condition.getAsBoolean() && System.nanoTime() < deadlineNanos) {
             TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
         }
         return condition.getAsBoolean();
@@ -253,23 +276,23 @@
 
     // ---- Figures
 
-    /** What is read off at one moment. */
-    private record Measurement(long at, List<ProcessUsage> hollow, List<ProcessUsage> real,
+    /** The figures at one moment. */
+    private record Measurement(long atNanos, List<ProcessUsage> hollow, List<ProcessUsage> real,
         Map<TrafficCounter.Purpose, TrafficCounter.Bytes> bytes) { }
 
     private Measurement measure() throws IOException {
         List<ProcessUsage> hollow = new ArrayList<>();
-        List<ProcessUsage> alone = new ArrayList<>();
+        List<ProcessUsage> realUsage = new ArrayList<>();
         for (HollowProcessHandle child : children) {
             hollow.add(ProcessUsage.of(child.pid()));
         }
-        for (RealDispatcher one : real) {
-            alone.add(ProcessUsage.of(one.pid()));
+        for (RealDispatcher dispatcher : real) {
+            realUsage.add(ProcessUsage.of(dispatcher.pid()));
         }
-        return new Measurement(System.nanoTime(), hollow, alone, traffic.sums());
+        return new Measurement(System.nanoTime(), hollow, realUsage, traffic.sums());
     }
 
-    /** Processor time used between two moments, in percent of a core; a restarted process counts from its start. */
+    /** Returns the processor time used between two moments, in percent of a core; a restarted process counts from its start. */
     private double cpuPercent(ProcessUsage before, ProcessUsage after, double seconds) {
         boolean restarted = options.scenario == ScaleOptions.Scenario.RESTART;
         return 100 * (after.cpuSeconds() - (restarted ? 0 : before.cpuSeconds())) / seconds;
@@ -277,48 +300,53 @@
 
     private ScaleResult result(String started, double load, String command, String commit, Measurement before,
             Measurement after, long firstChange) {
-        double seconds = (after.at - before.at) / 1e9;
+        double seconds = (after.atNanos - before.atNanos) / 1e9;
         Map<String, TrafficCounter.Bytes> bytes = new LinkedHashMap<>();
-        Map<String, Double> each = new LinkedHashMap<>();
+        Map<String, Double> bytesPerSecond = new LinkedHashMap<>();
         after.bytes.forEach((purpose, sum) -> {
-            TrafficCounter.Bytes of = sum.minus(before.bytes.get(purpose));
-            bytes.put(purpose.name().toLowerCase(Locale.ROOT), of);
-            each.put(purpose.name().toLowerCase(Locale.ROOT),
-                (of.in() + of.out()) / seconds / options.allDispatchers());
+            TrafficCounter.Bytes measured = sum.minus(before.bytes.get(purpose));
+            bytes.put(purpose.name().toLowerCase(Locale.ROOT), measured);
+            bytesPerSecond.put(purpose.name().toLowerCase(Locale.ROOT),
+                (measured.in() + measured.out()) / seconds / options.allDispatchers());
         });
         List<ScaleResult.Real> reals = new ArrayList<>();
         for (int d = 0; d < options.real; d++) {
-            LoadGenerator of = clients.get(d);
+            LoadGenerator client = clients.get(d);
             reals.add(new ScaleResult.Real(d, cpuPercent(before.real.get(d), after.real.get(d), seconds),
-                after.real.get(d).rssMb(), new ScaleResult.Requests(of.asked.get(), of.served.get(), of.synthetic.get(),
-                    of.failed.get(), of.lost.get() + of.openCount(), 0, of.resent.get()), Times.ofMicros(of.health)));
+                after.real.get(d).rssMb(), new ScaleResult.Requests(client.asked.get(), client.served.get(),
+                    client.synthetic.get(), client.failed.get(), client.lost.get() + client.openCount(), 0, client.resent.get()),
+                Times.ofMicros(client.health)));
         }
-        long healedAt = faultInjector.healedAt();
+        long healedAtNanos = faultInjector.healedAtNanos();
         ScaleResult.Hollow hollow = hollow(before, after, seconds);
-        ScaleResult.Rules broken = rules.result();
+        ScaleResult.Rules ruleCounts = rules.result();
         long notInForce = propagation.notInForceCount(firstChange);
-        List<String> faults = faults(hollow, reals, broken, notInForce);
-        return new ScaleResult(faults.isEmpty(), faults, command, commit, started, load, options, hollow, reals, bytes, each,
-            propagation.changes() - firstChange + 1, propagation.each(), propagation.untilInForceEverywhere(firstChange, 0),
-            healedAt == 0 ? null : propagation.untilInForceEverywhere(firstChange, healedAt), restartMs, notInForce, propagation.upToDateCount(), broken, samples);
+        List<String> faults = faults(hollow, reals, ruleCounts, notInForce);
+        return new ScaleResult(faults.isEmpty(), faults, command, commit, started, load, options, hollow, reals, bytes,
+            bytesPerSecond,
+            propagation.changeCount() - firstChange + 1, propagation.untilInForce(),
+            propagation.untilInForceEverywhere(firstChange, 0),
+            healedAtNanos == 0 ? null : propagation.untilInForceEverywhere(firstChange, healedAtNanos), restartMs, notInForce,
+            propagation.upToDateCount(), ruleCounts, samples);
     }
 
-    private List<String> faults(ScaleResult.Hollow hollow, List<ScaleResult.Real> reals, ScaleResult.Rules broken,
+    /** Returns the faults that make the run fail, each as a count with a description. */
+    private List<String> faults(ScaleResult.Hollow hollow, List<ScaleResult.Real> reals, ScaleResult.Rules ruleCounts,
             long notInForce) {
         Map<String, Long> counts = new LinkedHashMap<>();
-        counts.put("requests of hollow dispatchers lost", hollow.requests().lost());
-        counts.put("second answers", hollow.requests().second());
-        counts.put("requests of real dispatchers lost", reals.stream().mapToLong(r -> r.requests().lost()).sum());
+        counts.put("lost requests of hollow dispatchers", hollow.requests().lost());
+        counts.put("answers after the final answer", hollow.requests().second());
+        counts.put("lost requests of real dispatchers", reals.stream().mapToLong(r -> r.requests().lost()).sum());
         counts.put("exceptions", hollow.counts().getOrDefault(Count.EXCEPTIONS, 0L));
-        counts.put("steps of the script that failed", (long) steps.failed());
-        counts.put("sends after a drain", broken.afterDrain());
-        counts.put("cold workers over their budget", broken.overCold());
-        counts.put("changes not in force everywhere", notInForce);
-        counts.put("dispatchers not at the last revision", (long) options.allDispatchers() - propagation.upToDateCount());
+        counts.put("failed steps of the fault injector", (long) steps.failed());
+        counts.put("attempts sent after a drain", ruleCounts.afterDrain());
+        counts.put("cold backends over their budget", ruleCounts.overCold());
+        counts.put("changes not in force in all dispatchers", notInForce);
+        counts.put("dispatchers without the last revision", (long) options.allDispatchers() - propagation.upToDateCount());
         List<String> faults = new ArrayList<>();
-        counts.forEach((what, count) -> {
+        counts.forEach((description, count) -> {
             if (count != 0) {
-                faults.add(count + " " + what);
+                faults.add(count + " " + description);
             }
         });
         return faults;
@@ -343,12 +371,13 @@
             counts);
     }
 
-    private long sum(ToLongFunction<HollowProcess.Report> of) {
-        return finalReports.stream().mapToLong(of).sum();
+    private long sum(ToLongFunction<HollowProcess.Report> value) {
+        return finalReports.stream().mapToLong(value).sum();
     }
 
-    private Times worst(Function<HollowProcess.Report, Times> of) {
-        return finalReports.stream().map(of).max(Comparator.comparingDouble(Times::p999Ms)).orElse(null);
+    /** Returns the times of the process with the highest 99.9th percentile; null if there is no process. */
+    private Times worst(Function<HollowProcess.Report, Times> value) {
+        return finalReports.stream().map(value).max(Comparator.comparingDouble(Times::p999Ms)).orElse(null);
     }
 
     @Override public void close() throws IOException {
@@ -357,9 +386,9 @@
         for (HollowProcessHandle child : children) {
             child.close();
         }
-        for (RealDispatcher one : real) {
-            if (one != null) {
-                one.close();
+        for (RealDispatcher dispatcher : real) {
+            if (dispatcher != null) {
+                dispatcher.close();
             }
         }
         loops.shutdownGracefully(0, 0, TimeUnit.SECONDS);
--- a/src/lab/java/badgermux/scale/SendRules.java
+++ b/src/lab/java/badgermux/scale/SendRules.java
@@ -7,14 +7,18 @@
 import java.util.concurrent.atomic.LongAdder;
 import java.util.function.LongSupplier;
 
-/** Counts broken rules at the workers: sends after the time to stop sending, and work to cold workers over their budget. */
+/**
+ * Counts violations of the sending rules, as the backends see them: attempts that come too long after a drain was announced,
+ * and more work for a cold backend than its budget allows.
+ */
 final class SendRules {
-    private static final long STOP_SENDING_NANOS = TimeUnit.MILLISECONDS.toNanos(FleetLayout.STOP_SENDING_MS + FleetLayout.SOCKET_MARGIN_MS);
+    private static final long STOP_SENDING_NANOS = TimeUnit.MILLISECONDS
+        .toNanos(FleetLayout.STOP_SENDING_MS + FleetLayout.SOCKET_MARGIN_MS);
     private static final long OVERLOAD_WINDOW_NANOS = TimeUnit.MILLISECONDS.toNanos(FleetLayout.OVERLOAD_WINDOW_MS);
     private static final long WARM_UP_NANOS = TimeUnit.MILLISECONDS.toNanos(FleetLayout.WARM_UP_MS);
     private static final int MAX_VIOLATION_LINES = 20;
 
-    /** The work that a cold worker was sent lately, in milliseconds of a slot. */
+    /** The work that a cold backend was sent within the overload window, in milliseconds of a slot. */
     static final class ColdBudget {
         private record Work(long sentAtNanos, double slotMillis) { }
 
@@ -23,73 +27,87 @@
         private double recentSlotMillis;
         private boolean isExceeded;
 
-        ColdBudget(double meanMs) {
-            this.meanRunMs = meanMs;
+        ColdBudget(double meanRunMs) {
+            this.meanRunMs = meanRunMs;
         }
     }
 
-    private final ChangePropagation ledger;
+    private final ChangePropagation propagation;
     private final LongSupplier nanoClock;
-    private final LongAdder sends = new LongAdder(), afterDrain = new LongAdder(), overCold = new LongAdder();
-    private final LongAdder coldSends = new LongAdder(), drains = new LongAdder();
+    private final LongAdder sends = new LongAdder();
+    private final LongAdder afterDrain = new LongAdder();
+    private final LongAdder overCold = new LongAdder();
+    private final LongAdder coldSends = new LongAdder();
+    private final LongAdder drains = new LongAdder();
     private final List<String> violations = new ArrayList<>();
 
-    /** {@code clock} is the ledger's, in nanoseconds. */
-    SendRules(ChangePropagation ledger, LongSupplier clock) {
-        this.ledger = ledger;
-        this.nanoClock = clock;
+    /** {@code nanoClock} is the clock of the times in {@code propagation}. */
+    SendRules(ChangePropagation propagation, LongSupplier nanoClock) {
+        this.propagation = propagation;
+        this.nanoClock = nanoClock;
     }
 
-    /** The part of its capacity that a worker has. */
-    static double capacityShare(long coldSince, long now) {
-        double part = (now - coldSince) / (double) WARM_UP_NANOS;
-        return coldSince == 0 ? 1 : Math.min(1, FleetLayout.COLD_CAPACITY_SHARE + (1 - FleetLayout.COLD_CAPACITY_SHARE) * part);
+    /** Returns the share of its capacity that a backend has; {@code coldSinceNanos} is 0 for a warm one. */
+    static double capacityShare(long coldSinceNanos, long nowNanos) {
+        double warmUpShare = (nowNanos - coldSinceNanos) / (double) WARM_UP_NANOS;
+        return coldSinceNanos == 0 ? 1 : Math.min(1,
+            FleetLayout.COLD_CAPACITY_SHARE + (1 - FleetLayout.COLD_CAPACITY_SHARE) * warmUpShare);
     }
 
-    /** A worker has begun to drain. */
+    /** Counts a drain. */
     void recordDrain() {
         drains.increment();
     }
 
-    /** An attempt has come to a worker; {@code drainChange} is the change that told of its drain, 0 for none. */
-    void recordAttempt(int dispatcher, int worker, long drainChange) {
+    /** Counts an attempt that a backend received; {@code drainChange} is the change that announced its drain, 0 for none. */
+    void recordAttempt(int dispatcher, int backend, long drainChange) {
         sends.increment();
-        long toldAt = drainChange == 0 ? Long.MAX_VALUE : ledger.toldAtNanos(dispatcher, drainChange);
-        long late = toldAt == Long.MAX_VALUE ? 0 : nanoClock.getAsLong() - toldAt;
-        if (late > STOP_SENDING_NANOS) {
+        long knownSinceNanos = drainChange == 0 ? Long.MAX_VALUE : propagation.firstSentAtNanos(dispatcher, drainChange);
+        long lateNanos = knownSinceNanos == Long.MAX_VALUE ? 0 : nanoClock.getAsLong() - knownSinceNanos;
+        if (lateNanos > STOP_SENDING_NANOS) {
             afterDrain.increment();
-            addViolation("dispatcher " + dispatcher + " sent to worker " + worker + " " + late / 1_000_000 + " ms after its drain");
+            addViolation("dispatcher " + dispatcher + " sent to backend " + backend + " " + lateNanos / 1_000_000
+                + " ms after its drain");
         }
     }
 
-    /** Work has come to a worker that started cold; null once it is warm. The slack for chance is that of the lab's nodes. */
-    ColdBudget recordColdWork(ColdBudget cold, int worker, long coldSince, double ms) {
-        long now = nanoClock.getAsLong();
-        if (now - coldSince > WARM_UP_NANOS) {
+    /**
+     * Counts work that a backend received after a cold start. Returns its budget, or null once it is warm. Of N allowed
+     * requests, 3 times the square root of N and 3 more are tolerated as chance.
+     */
+    ColdBudget recordColdWork(ColdBudget budget, int backend, long coldSinceNanos, double slotMillis) {
+        long nowNanos = nanoClock.getAsLong();
+        if (nowNanos - coldSinceNanos > WARM_UP_NANOS) {
             return null;
         }
         coldSends.increment();
-        cold.recentWork.add(new ColdBudget.Work(now, ms));
-        cold.recentSlotMillis += ms;
-        while (cold.recentWork.peek().sentAtNanos() <= now - OVERLOAD_WINDOW_NANOS) {
-            cold.recentSlotMillis -= cold.recentWork.poll().slotMillis();
+        budget.recentWork.add(new ColdBudget.Work(nowNanos, slotMillis));
+        budget.recentSlotMillis += slotMillis;
+        while (budget.recentWork.peek().sentAtNanos() <= nowNanos - OVERLOAD_WINDOW_NANOS) {
+            budget.recentSlotMillis -= budget.recentWork.poll().slotMillis();
         }
-        double jobs = FleetLayout.OVERLOAD_MULTIPLE * FleetLayout.SLOTS * capacityShare(coldSince, now) * FleetLayout.OVERLOAD_WINDOW_MS / cold.meanRunMs;
-        if (!cold.isExceeded && cold.recentSlotMillis / cold.meanRunMs > jobs + 3 * Math.sqrt(jobs) + 3) {
-            cold.isExceeded = true;
+        double allowedRequests = FleetLayout.OVERLOAD_MULTIPLE * FleetLayout.SLOTS * capacityShare(coldSinceNanos, nowNanos)
+            * FleetLayout.OVERLOAD_WINDOW_MS / budget.meanRunMs;
+        if (!budget.isExceeded && budget.recentSlotMillis / budget.meanRunMs
+                > allowedRequests + 3 * Math.sqrt(allowedRequests) + 3) {
+            budget.isExceeded = true;
             overCold.increment();
-            addViolation("cold worker " + worker + " was sent " + cold.recentSlotMillis / cold.meanRunMs + " mean tasks, allowed " + jobs);
+            addViolation("cold backend " + backend + " was sent " + budget.recentSlotMillis / budget.meanRunMs
+                + " mean requests, allowed " + allowedRequests);
         }
-        return cold;
+        return budget;
     }
 
+    /** Keeps the description of a violation, up to a limit. */
     private synchronized void addViolation(String line) {
         if (violations.size() < MAX_VIOLATION_LINES) {
             violations.add(line);
         }
     }
 
+    /** Returns the counts so far. */
     synchronized ScaleResult.Rules result() {
-        return new ScaleResult.Rules(sends.sum(), drains.sum(), coldSends.sum(), afterDrain.sum(), overCold.sum(), List.copyOf(violations));
+        return new ScaleResult.Rules(sends.sum(), drains.sum(), coldSends.sum(), afterDrain.sum(), overCold.sum(),
+            List.copyOf(violations));
     }
 }
--- a/src/lab/java/badgermux/scale/StepScheduler.java
+++ b/src/lab/java/badgermux/scale/StepScheduler.java
@@ -6,17 +6,18 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** The one thread on which a run's script goes on, step by step; a step that fails is counted, for the verdict. */
+/** Runs the steps of a run on one thread. A failed step is counted and makes the run fail. */
 final class StepScheduler implements Closeable {
-    /** What is done at a time. */
+    /** An action to run at a time. */
     interface Step {
         void run() throws InterruptedException;
     }
 
     private final ScheduledExecutorService thread = Executors.newSingleThreadScheduledExecutor();
-    private final AtomicInteger pending = new AtomicInteger(), failed = new AtomicInteger();
+    private final AtomicInteger pending = new AtomicInteger();
+    private final AtomicInteger failed = new AtomicInteger();
 
-    /** Does it after a time; the run does not end before it is done. */
+    /** Schedules a step that has to be completed before the run ends. */
     void scheduleMicros(long micros, Step step) {
         pending.incrementAndGet();
         scheduleUnawaited(micros, () -> {
@@ -28,13 +29,13 @@
         });
     }
 
-    /** Does it after a time, unless the run is over by then. */
+    /** Schedules a step that is dropped if the run ends before. */
     void scheduleUnawaited(long micros, Step step) {
         thread.schedule(() -> {
             try {
                 step.run();
             } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();     // the run is over
+                Thread.currentThread().interrupt();     // the run has ended
             } catch (RuntimeException e) {
                 failed.incrementAndGet();
                 e.printStackTrace();
@@ -42,11 +43,12 @@
         }, micros, TimeUnit.MICROSECONDS);
     }
 
+    /** Like {@link #scheduleMicros}, with a delay in milliseconds. */
     void scheduleMs(long millis, Step step) {
         scheduleMicros(TimeUnit.MILLISECONDS.toMicros(millis), step);
     }
 
-    /** Whether nothing is left to be done. */
+    /** Whether all steps that the run has to wait for are completed. */
     boolean isSettled() {
         return pending.get() == 0;
     }
--- a/src/lab/java/badgermux/scale/TrafficCounter.java
+++ b/src/lab/java/badgermux/scale/TrafficCounter.java
@@ -4,15 +4,17 @@
 import java.util.Map;
 import java.util.concurrent.atomic.LongAdder;
 
-/** Bytes and messages by purpose, counted at the stand-ins: application bytes of HTTP, both ways, without TCP's own. */
+/** Counts messages and HTTP bytes by purpose at the backends and discovery, in both directions, without TCP's overhead. */
 final class TrafficCounter {
     enum Purpose { LISTS, PROBES, ATTEMPTS }
 
     private static final class Sum {
-        private final LongAdder messages = new LongAdder(), in = new LongAdder(), out = new LongAdder();
+        private final LongAdder messages = new LongAdder();
+        private final LongAdder in = new LongAdder();
+        private final LongAdder out = new LongAdder();
     }
 
-    /** What came in from dispatchers and went out to them. */
+    /** Messages received from dispatchers, bytes received from them and bytes sent to them. */
     record Bytes(long messages, long in, long out) {
         Bytes minus(Bytes before) {
             return new Bytes(messages - before.messages, in - before.in, out - before.out);
@@ -27,18 +29,21 @@
         }
     }
 
+    /** Counts a message from a dispatcher. */
     void recordIn(Purpose purpose, long bytes) {
         sums.get(purpose).messages.increment();
         sums.get(purpose).in.add(bytes);
     }
 
+    /** Counts bytes sent to a dispatcher. */
     void recordOut(Purpose purpose, long bytes) {
         sums.get(purpose).out.add(bytes);
     }
 
+    /** Returns the sums since the start. */
     Map<Purpose, Bytes> sums() {
-        Map<Purpose, Bytes> now = new EnumMap<>(Purpose.class);
-        sums.forEach((purpose, sum) -> now.put(purpose, new Bytes(sum.messages.sum(), sum.in.sum(), sum.out.sum())));
-        return now;
+        Map<Purpose, Bytes> bytes = new EnumMap<>(Purpose.class);
+        sums.forEach((purpose, sum) -> bytes.put(purpose, new Bytes(sum.messages.sum(), sum.in.sum(), sum.out.sum())));
+        return bytes;
     }
 }
