--- a/src/lab/java/badgermux/lab/ZoneRuns.java
+++ b/src/lab/java/badgermux/lab/ZoneRuns.java
@@ -130,7 +130,10 @@
         }
     }
 
-    /** Runs a scenario with all seeds under each policy, and prints the median and the minimum of each figure. */
+    /**
+     * Runs a scenario with all seeds under each policy, and prints a row of figures for each policy: shares as the median and
+     * the minimum over the seeds, the overload ratio as the median and the maximum, times as the median.
+     */
     private static void printTable(Scenario scenario, int seeds) throws Exception {
         System.out.printf(Locale.ROOT, "%n%s: %d zones of %d backends, %d dispatchers, load %.1f of the capacity without one "
             + "zone, %d seeds%n", scenario.name, scenario.zones, scenario.backendsPerZone,
--- a/src/lab/java/badgermux/scale/HollowDispatcher.java
+++ b/src/lab/java/badgermux/scale/HollowDispatcher.java
@@ -42,7 +42,7 @@
     private final EventLoop loop;
     private final Clock clock = new Clock();
     private final Metrics metrics = new Metrics(List.of(FleetLayout.CLASS));
-    private final Deadlines deadlines = new Deadlines(clock::nowMicros, this::alarm, metrics);
+    private final Deadlines deadlines = new Deadlines(clock::nowMicros, this::setAlarm, metrics);
     private final Engine<ForwardedRequest> engine;
     private final DiscoveryClient discovery;
     private final RequestIds ids;
@@ -84,11 +84,12 @@
         engine.submit(new AnswerCounter(), forwarded, 0, tenant, 1, clock.nowMicros() + timeoutMicros, true);
     }
 
-    private void alarm(long at) {
+    /** Schedules the next run of deadlines, which replaces an earlier one. */
+    private void setAlarm(long dueMicros) {
         if (alarm != null) {
             alarm.cancel(false);
         }
-        alarm = loop.schedule(deadlines::runDue, Math.max(0, at - clock.nowMicros()), TimeUnit.MICROSECONDS);
+        alarm = loop.schedule(deadlines::runDue, Math.max(0, dueMicros - clock.nowMicros()), TimeUnit.MICROSECONDS);
     }
 
     /** Counts the answers to one request. */
--- a/src/lab/java/badgermux/scale/LoadGenerator.java
+++ b/src/lab/java/badgermux/scale/LoadGenerator.java
@@ -50,10 +50,10 @@
     private long requestDue;
 
     /** {@code dispatcher} supplies the process to use, which changes with a restart; {@code number} is its number. */
-    LoadGenerator(Supplier<RealDispatcher> to, int number, double rate, long giveUpMs, long seed) {
-        this.dispatcher = to;
+    LoadGenerator(Supplier<RealDispatcher> dispatcher, int number, double rate, long timeoutMs, long seed) {
+        this.dispatcher = dispatcher;
         this.rate = rate;
-        this.timeoutMs = giveUpMs;
+        this.timeoutMs = timeoutMs;
         ids = new RequestIds(number, 0);
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed * 7_919 + number);
         gaps = ZigguratSampler.Exponential.of(random);
