--- a/src/lab/java/badgermux/scale/ScaleRun.java
+++ b/src/lab/java/badgermux/scale/ScaleRun.java
@@ -334,15 +334,15 @@
     private List<String> faults(ScaleResult.Hollow hollow, List<ScaleResult.Real> reals, ScaleResult.Rules ruleCounts,
             long notInForce) {
         Map<String, Long> counts = new LinkedHashMap<>();
-        counts.put("lost requests of hollow dispatchers", hollow.requests().lost());
-        counts.put("answers after the final answer", hollow.requests().second());
-        counts.put("lost requests of real dispatchers", reals.stream().mapToLong(r -> r.requests().lost()).sum());
+        counts.put("requests of hollow dispatchers lost", hollow.requests().lost());
+        counts.put("second answers", hollow.requests().second());
+        counts.put("requests of real dispatchers lost", reals.stream().mapToLong(r -> r.requests().lost()).sum());
         counts.put("exceptions", hollow.counts().getOrDefault(Count.EXCEPTIONS, 0L));
-        counts.put("failed steps of the fault injector", (long) steps.failed());
-        counts.put("attempts sent after a drain", ruleCounts.afterDrain());
-        counts.put("cold backends over their budget", ruleCounts.overCold());
-        counts.put("changes not in force in all dispatchers", notInForce);
-        counts.put("dispatchers without the last revision", (long) options.allDispatchers() - propagation.upToDateCount());
+        counts.put("steps of the script that failed", (long) steps.failed());
+        counts.put("sends after a drain", ruleCounts.afterDrain());
+        counts.put("cold workers over their budget", ruleCounts.overCold());
+        counts.put("changes not in force everywhere", notInForce);
+        counts.put("dispatchers not at the last revision", (long) options.allDispatchers() - propagation.upToDateCount());
         List<String> faults = new ArrayList<>();
         counts.forEach((description, count) -> {
             if (count != 0) {
--- a/src/lab/java/badgermux/scale/SendRules.java
+++ b/src/lab/java/badgermux/scale/SendRules.java
@@ -66,7 +66,7 @@
         long lateNanos = knownSinceNanos == Long.MAX_VALUE ? 0 : nanoClock.getAsLong() - knownSinceNanos;
         if (lateNanos > STOP_SENDING_NANOS) {
             afterDrain.increment();
-            addViolation("dispatcher " + dispatcher + " sent to backend " + backend + " " + lateNanos / 1_000_000
+            addViolation("dispatcher " + dispatcher + " sent to worker " + backend + " " + lateNanos / 1_000_000
                 + " ms after its drain");
         }
     }
@@ -92,8 +92,8 @@
                 > allowedRequests + 3 * Math.sqrt(allowedRequests) + 3) {
             budget.isExceeded = true;
             overCold.increment();
-            addViolation("cold backend " + backend + " was sent " + budget.recentSlotMillis / budget.meanRunMs
-                + " mean requests, allowed " + allowedRequests);
+            addViolation("cold worker " + backend + " was sent " + budget.recentSlotMillis / budget.meanRunMs
+                + " mean tasks, allowed " + allowedRequests);
         }
         return budget;
     }
