--- a/src/bench/capacity/java/badgermux/capacity/DemandModel.java
+++ b/src/bench/capacity/java/badgermux/capacity/DemandModel.java
@@ -10,10 +10,12 @@
 public final class DemandModel {
     /** Number of requests that a dispatcher has served soon after a start, when its code is not fully compiled. */
     private static final int SERVED_AFTER_START = 300;
-    /** Number of requests after which the cost of a request does not fall any further. */
+    /** Number of served requests after which the cost of a request is taken as not falling any further. */
     private static final int SERVED_LONG_RUNNING = 20_000;
-    /** Age of a process from which on its idle processor time stays constant. */
+    /** Age of a process from which on its idle processor time is taken as constant. */
     private static final int LONG_RUNNING_AGE_SECONDS = 240;
+    /** Backends in the smallest list of MeasureProcess; the heap that a process uses beyond that counts as its list. */
+    private static final int SMALLEST_BACKEND_COUNT = 8;
     private static final double SECONDS_PER_DAY = 86_400;
     private static final double MICROS_PER_SECOND = 1e6;
     private static final double MILLIS_PER_SECOND = 1e3;
@@ -47,7 +49,7 @@
         return all;
     }
 
-    /** Sums the situation's control demands that some class serves. */
+    /** Sums the control demands of a situation for which the program has a mechanism. */
     private static Demand totalControl(List<Demand> all, int dispatchers, Situation situation) {
         List<Demand> control = all.stream().filter(demand -> demand.situation() == situation
             && demand.kind() == Demand.Kind.CONTROL && !demand.hasNoMechanism()).toList();
@@ -57,7 +59,7 @@
             control.stream().mapToDouble(Demand::coreShare).sum(), "sum");
     }
 
-    /** Requests a second at all dispatchers on an average day if every job were a gang of the largest size. */
+    /** Requests a second at all dispatchers on an average day, if each job of the target had as many tasks as the largest one. */
     double averageStartsPerSecond() {
         return target.get("jobsPerDay") * target.get("gangMost") / SECONDS_PER_DAY;
     }
@@ -71,12 +73,12 @@
 
     /** Number of backends that leave the list when a situation begins. */
     double lostBackends(Situation situation) {
-        double workers = target.get("workers");
+        double backends = target.get("workers");
         return switch (situation) {
             case MACHINE_FAILURE -> target.get("workersPerMachine");
             case RACK_FAILURE -> target.get("rackMachines") * target.get("workersPerMachine");
-            case ZONE_FAILURE -> workers / target.get("zones");
-            case REGION_CUT_OFF -> workers / target.get("regions");
+            case ZONE_FAILURE -> backends / target.get("zones");
+            case REGION_CUT_OFF -> backends / target.get("regions");
             default -> 0;
         };
     }
@@ -97,9 +99,9 @@
 
     /** Seconds of processor time of a start, which most changes of settings require. */
     double startCpuSeconds() {
-        double withKnownList = slopes.get("cpu.start").costAt(target.get("workers"));
-        double teams = slopes.get("cpu.start.tenants").slope() * target.get("teams");
-        return (withKnownList + Math.max(0, teams)) / MICROS_PER_SECOND;
+        double microsWithKnownList = slopes.get("cpu.start").costAt(target.get("workers"));
+        double microsForTenants = slopes.get("cpu.start.tenants").slope() * target.get("teams");
+        return (microsWithKnownList + Math.max(0, microsForTenants)) / MICROS_PER_SECOND;
     }
 
     /** Descriptors that one dispatcher needs: each open request has one connection to its client and one to its backend. */
@@ -150,21 +152,22 @@
 
         /** Connections and messages of clients. The processor time is measured with that of {@link #attempts}. */
         Demand frontend() {
-            double state = openRequests * slopes.get("heap.connection").slope();
-            return demand("Client front", Demand.Kind.TRAFFIC, state, 2 * requestsPerSecond,
+            double stateBytes = openRequests * slopes.get("heap.connection").slope();
+            return demand("Client front", Demand.Kind.TRAFFIC, stateBytes, 2 * requestsPerSecond,
                 requestsPerSecond * slopes.get("bytes.request").costAt(1), 0, "Frontend, FrontendConnection");
         }
 
         /** State and processor time of the decision policy. */
         Demand decisionPolicy() {
-            double state = slopes.get("heap.worker").costAt(backends) + openRequests * slopes.get("heap.open").slope()
+            double stateBytes = slopes.get("heap.worker").costAt(backends) + openRequests * slopes.get("heap.open").slope()
                 + target.get("teams") * slopes.get("heap.tenant").slope();
-            double core = (requestsPerSecond * slopes.get("cpu.request").costAt(backends)
+            double coreShare = (requestsPerSecond * slopes.get("cpu.request").costAt(backends)
                 + entriesPerSecond * slopes.get("cpu.news").costAt(backends)
                 + listsPerSecond() * slopes.get("cpu.list").costAt(backends)) / MICROS_PER_SECOND;
-            double events = requestsPerSecond * (1 + 2 * target.get("attemptsPerRequest") + probesPerRequest())
+            double eventsPerSecond = requestsPerSecond * (1 + 2 * target.get("attemptsPerRequest") + probesPerRequest())
                 + entriesPerSecond;
-            return demand("Decision module", Demand.Kind.CONTROL, state, events, 0, core, "DefaultDispatchPolicy");
+            return demand("Decision module", Demand.Kind.CONTROL, stateBytes, eventsPerSecond, 0, coreShare,
+                "DefaultDispatchPolicy");
         }
 
         /** Complete backend lists a second. */
@@ -180,15 +183,16 @@
         /** Watches, complete lists and changed entries, and the list itself. */
         Demand discoveryClient() {
             Slope delta = slopes.get("bytes.delta");
-            double state = slopes.get("heap.process").costAt(backends) - slopes.get("heap.process").costAt(8)
+            double stateBytes = slopes.get("heap.process").costAt(backends)
+                - slopes.get("heap.process").costAt(SMALLEST_BACKEND_COUNT)
                 - slopes.get("heap.worker").costAt(backends);
-            double bytes = watchesPerSecond() * Math.max(0, delta.base()) + entriesPerSecond * delta.slope()
+            double bytesPerSecond = watchesPerSecond() * Math.max(0, delta.base()) + entriesPerSecond * delta.slope()
                 + listsPerSecond() * slopes.get("bytes.list.indented").costAt(backends);
-            double core = (entriesPerSecond * slopes.get("cpu.parse").slope()
+            double coreShare = (entriesPerSecond * slopes.get("cpu.parse").slope()
                 + listsPerSecond() * (slopes.get("cpu.list.process").costAt(backends)
                 - slopes.get("cpu.list").costAt(backends))) / MICROS_PER_SECOND;
-            return demand("Discovery client", Demand.Kind.CONTROL, Math.max(0, state),
-                2 * (watchesPerSecond() + listsPerSecond()), bytes, core, "DiscoveryClient, BackendListCodec");
+            return demand("Discovery client", Demand.Kind.CONTROL, Math.max(0, stateBytes),
+                2 * (watchesPerSecond() + listsPerSecond()), bytesPerSecond, coreShare, "DiscoveryClient, BackendListCodec");
         }
 
         /** Number of requests that a process has served in this situation; a size of the slopes {@code cpu.request.*}. */
@@ -202,11 +206,11 @@
          */
         Demand attempts() {
             double attemptsPerSecond = requestsPerSecond * target.get("attemptsPerRequest");
-            double core = requestsPerSecond * Math.max(0, slopes.get("cpu.request.silent").costAt(servedRequests()))
+            double coreShare = requestsPerSecond * Math.max(0, slopes.get("cpu.request.silent").costAt(servedRequests()))
                 / MICROS_PER_SECOND;
             return demand("Worker connections: attempts", Demand.Kind.TRAFFIC,
                 openRequests * slopes.get("heap.connection").slope(), 2 * attemptsPerSecond,
-                attemptsPerSecond * slopes.get("bytes.attempt").costAt(1), core, "HttpBackendClient, AttemptExchange");
+                attemptsPerSecond * slopes.get("bytes.attempt").costAt(1), coreShare, "HttpBackendClient, AttemptExchange");
         }
 
         /** Probes of backends and the load reports in the answers. */
@@ -226,46 +230,48 @@
          * restarted. Changes are batched for as long as the budget allows a change to take.
          */
         Demand settings() {
-            double changes = Math.min(target.get("changesPerDay") / SECONDS_PER_DAY, 1 / target.budget().changeSeconds());
-            double teams = target.get("teams");
-            double file = slopes.get("bytes.settings").costAt(teams);
-            return demand("Settings and contracts", Demand.Kind.CONTROL, file, changes, changes * file,
-                changes * startCpuSeconds(), Demand.NO_MECHANISM);
+            double changesPerSecond = Math.min(target.get("changesPerDay") / SECONDS_PER_DAY,
+                1 / target.budget().changeSeconds());
+            double tenants = target.get("teams");
+            double fileBytes = slopes.get("bytes.settings").costAt(tenants);
+            return demand("Settings and contracts", Demand.Kind.CONTROL, fileBytes, changesPerSecond,
+                changesPerSecond * fileBytes, changesPerSecond * startCpuSeconds(), Demand.NO_MECHANISM);
         }
 
         /** Operators' scrapes of the metrics. */
         Demand metricsScrapes() {
             double scrapesPerSecond = 1 / target.get("scrapeSeconds");
-            double bytes = scrapesPerSecond * slopes.get("bytes.metrics").costAt(target.get("classes"));
-            double core = scrapesPerSecond * slopes.get("cpu.metrics").costAt(target.get("teams")) / MICROS_PER_SECOND;
-            return demand("Operators' figures", Demand.Kind.CONTROL, 0, 2 * scrapesPerSecond, bytes, core,
+            double bytesPerSecond = scrapesPerSecond * slopes.get("bytes.metrics").costAt(target.get("classes"));
+            double coreShare = scrapesPerSecond * slopes.get("cpu.metrics").costAt(target.get("teams")) / MICROS_PER_SECOND;
+            return demand("Operators' figures", Demand.Kind.CONTROL, 0, 2 * scrapesPerSecond, bytesPerSecond, coreShare,
                 "Metrics, FrontendConnection");
         }
 
         /** One log line for each newly listed backend; the decision policy limits the lines about ejected backends. */
         Demand logs() {
             Slope start = slopes.get("bytes.log.start");
-            double bytes = averageEntriesPerSecond() * start.slope() + listsPerSecond() * start.costAt(backends);
-            return demand("Logs", Demand.Kind.CONTROL, 0, listsPerSecond() * backends + averageEntriesPerSecond(), bytes, 0,
-                "AsynchronousWriter");
+            double bytesPerSecond = averageEntriesPerSecond() * start.slope() + listsPerSecond() * start.costAt(backends);
+            return demand("Logs", Demand.Kind.CONTROL, 0, listsPerSecond() * backends + averageEntriesPerSecond(),
+                bytesPerSecond, 0, "AsynchronousWriter");
         }
 
         /** A process without requests; a restart adds the processor time of one start. */
         Demand processBaseline() {
-            double core = situation == Situation.FULL_RESTART
+            double coreShare = situation == Situation.FULL_RESTART
                 ? slopes.get("cpu.idle").costAt(backends) / MICROS_PER_SECOND + startCpuSeconds() / windowSeconds
                 : slopes.get("cpu.idle.age").costAt(LONG_RUNNING_AGE_SECONDS) / MICROS_PER_SECOND;
             Slope heap = slopes.get("heap.process");
-            double state = slopes.get("rss.process").costAt(backends) - (heap.costAt(backends) - heap.costAt(8));
-            return demand("Process: Java, idle rounds, start", Demand.Kind.CONTROL, state, 0, 0, core,
+            double stateBytes = slopes.get("rss.process").costAt(backends)
+                - (heap.costAt(backends) - heap.costAt(SMALLEST_BACKEND_COUNT));
+            return demand("Process: Java, idle rounds, start", Demand.Kind.CONTROL, stateBytes, 0, 0, coreShare,
                 "DispatcherProcess, Deadlines");
         }
 
         /** The stub discovery service, called by all dispatchers. */
         Demand stubDiscovery() {
             Demand perDispatcher = discoveryClient();
-            double state = slopes.get("bytes.list.indented").costAt(backends);
-            return demand("Stand-in discovery, all dispatchers", Demand.Kind.OUTSIDE, state,
+            double stateBytes = slopes.get("bytes.list.indented").costAt(backends);
+            return demand("Stand-in discovery, all dispatchers", Demand.Kind.OUTSIDE, stateBytes,
                 dispatchers * perDispatcher.messagesPerSecond(), dispatchers * perDispatcher.bytesPerSecond(), 0,
                 "outside the program");
         }
@@ -274,10 +280,10 @@
         Demand stubBackend() {
             double probesPerSecond = dispatchers * requestsPerSecond * probesPerRequest() / backends;
             double attemptsPerSecond = dispatchers * requestsPerSecond * target.get("attemptsPerRequest") / backends;
-            double bytes = probesPerSecond * slopes.get("bytes.probe").costAt(1)
+            double bytesPerSecond = probesPerSecond * slopes.get("bytes.probe").costAt(1)
                 + attemptsPerSecond * slopes.get("bytes.attempt").costAt(1);
-            return demand("Stand-in worker, one of all", Demand.Kind.OUTSIDE, 0, 2 * (probesPerSecond + attemptsPerSecond), bytes,
-                probesPerSecond * target.get("probeWorkMillis") / MILLIS_PER_SECOND, "outside the program");
+            return demand("Stand-in worker, one of all", Demand.Kind.OUTSIDE, 0, 2 * (probesPerSecond + attemptsPerSecond),
+                bytesPerSecond, probesPerSecond * target.get("probeWorkMillis") / MILLIS_PER_SECOND, "outside the program");
         }
     }
 }
--- a/src/bench/java/badgermux/capacity/MeasureModule.java
+++ b/src/bench/java/badgermux/capacity/MeasureModule.java
@@ -29,7 +29,7 @@
 
 /**
  * Measures the cost of a dispatcher's components inside one process at several sizes: processor time of the measuring
- * thread, live heap after garbage collections, and sizes of encoded messages. Writes the slopes to the committed JSON file.
+ * thread, live heap after garbage collections, and sizes of encoded messages. Writes the slopes to the file of slopes.
  */
 @Command(name = "measure-module", mixinStandardHelpOptions = true,
     description = "Measures decisions, changes of the backend list, heap and message sizes at several sizes.")
@@ -43,7 +43,7 @@
     private static final int DEFAULT_CLASS_COUNT = 3;
     private static final int TARGET_BACKEND_COUNT = 2600;
     private static final int TARGET_TENANT_COUNT = 190;
-    /** Processor time of the thread after which a round ends. */
+    /** Processor time of the measuring thread after which a round begins no further call. */
     private static final long MIN_ROUND_NANOS = 25_000_000;
     private static final double NANOS_PER_MICRO = 1e3;
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
@@ -56,7 +56,7 @@
     private int rounds;
 
     private final SlopeRecorder recorder = new SlopeRecorder(RUN);
-    /** Accumulates hash codes of decoded lists, so that the compiler can't remove the decoding. */
+    /** Sum of the hash codes of decoded lists. The exit code depends on it, so that the compiler can't remove the decoding. */
     private long resultHash;
     /** Keeps the measured object reachable until the next one is measured. */
     private Object measuredObject;
@@ -71,10 +71,10 @@
         measureMessages();
         String command = "JAVA_TOOL_OPTIONS='" + System.getenv().getOrDefault("JAVA_TOOL_OPTIONS", "")
             + "' src/bench/run badgermux.capacity.MeasureModule --rounds " + rounds;
-        String how = "Processor time of the measuring thread, so other processes' load counts little; collections run on "
+        String method = "Processor time of the measuring thread, so other processes' load counts little; collections run on "
             + "another thread and are left out. Heap: what is in use after three collections. Messages: as the program's own "
             + "classes encode them, without TCP and IP heads.";
-        Slopes.read(slopesFile).withRun(recorder.describeRun(command, how), recorder.slopes()).write(slopesFile);
+        Slopes.read(slopesFile).withRun(recorder.describeRun(command, method), recorder.slopes()).write(slopesFile);
         return resultHash == Long.MIN_VALUE ? 1 : 0;
     }
 
@@ -92,16 +92,17 @@
         recorder.describe("cpu.parse", "decoding a whole list by ListDecoder", "us", "worker");
         for (int size : BACKEND_COUNTS) {
             PolicyHarness harness = new PolicyHarness(size, DEFAULT_CLASS_COUNT, 0);
-            recorder.add("cpu.request", size, cpuMicrosPerCall(turn -> harness.runRequest()));
-            long before = harness.probeCount();
-            IntStream.range(0, 1000).forEach(turn -> harness.runRequest());
-            recorder.add("probes.request", size, (harness.probeCount() - before) / 1000.0);
+            recorder.add("cpu.request", size, cpuMicrosPerCall(callNumber -> harness.runRequest()));
+            long probesBefore = harness.probeCount();
+            IntStream.range(0, 1000).forEach(callNumber -> harness.runRequest());
+            recorder.add("probes.request", size, (harness.probeCount() - probesBefore) / 1000.0);
             recorder.add("cpu.news", size, cpuMicrosPerCall(harness::changeOneBackend));
-            recorder.add("cpu.list", size, cpuMicrosPerCall(turn -> harness.resendFullList()));
+            recorder.add("cpu.list", size, cpuMicrosPerCall(callNumber -> harness.resendFullList()));
             recorder.add("cpu.zone.single", size, zoneLossCpuMicros(harness, true));
             recorder.add("cpu.zone.whole", size, zoneLossCpuMicros(harness, false));
             String list = listJson(size);
-            recorder.add("cpu.parse", size, cpuMicrosPerCall(turn -> resultHash += BackendListCodec.decode(list).hashCode()));
+            recorder.add("cpu.parse", size, cpuMicrosPerCall(
+                callNumber -> resultHash += BackendListCodec.decode(list).hashCode()));
         }
         for (int classes : CLASS_COUNTS) {
             PolicyHarness harness = new PolicyHarness(TARGET_BACKEND_COUNT, classes, 0);
@@ -171,7 +172,7 @@
         }
     }
 
-    /** Returns the heap that a created object retains in bytes, one value for each round, after a warm-up round. */
+    /** Returns the heap in bytes that a created object keeps in use, one value for each of three rounds after a warm-up round. */
     private double[] retainedBytes(Supplier<Object> factory) {
         double[] bytes = new double[3];
         retainedBytesOnce(factory);
@@ -183,12 +184,12 @@
 
     private long retainedBytesOnce(Supplier<Object> factory) {
         measuredObject = null;
-        long before = usedHeapBytes();
+        long usedBefore = usedHeapBytes();
         measuredObject = factory.get();
-        return Math.max(1, usedHeapBytes() - before);
+        return Math.max(1, usedHeapBytes() - usedBefore);
     }
 
-    /** Returns the heap in use after three garbage collections. */
+    /** Returns the bytes of heap in use after three garbage collections. */
     private static long usedHeapBytes() {
         Runtime runtime = Runtime.getRuntime();
         for (int i = 0; i < 3; i++) {
@@ -279,7 +280,7 @@
         }
     }
 
-    /** Size of a response of status 200 with a body. */
+    /** Bytes of a response of status 200 with the given body. */
     private static double responseBytes(String body) {
         byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
         return MessageEncoder.response(200, "OK", "", bytes, true).readableBytes();
@@ -289,13 +290,13 @@
         return MessageEncoder.getRequest("/v1/servers?since=123456&timeout_ms=5000", "10.2.0.1:8500").readableBytes();
     }
 
-    /** Size of a probe and the answer to it. */
+    /** Bytes of a probe and the answer to it. */
     private static double probeBytes() {
         return MessageEncoder.getRequest("/load", "10.1.200.118:5000").readableBytes()
             + responseBytes("TEXT x0=2, x1=2048, latency_ms=431, qps=2.5");
     }
 
-    /** Size of an attempt and the answer to it. */
+    /** Bytes of an attempt and the answer to it. */
     private static double attemptBytes() {
         String id = "9b1f03aa5c7e2d41";
         ForwardedRequest request = new ForwardedRequest(id, "POST /preview/nhan-dan HTTP/1.1", requestHeaders(id),
@@ -306,7 +307,7 @@
         return request.encode("10.1.200.118:5000", 5000).readableBytes() + responseBytes(started + done);
     }
 
-    /** Size of a client's request and the answer to it. */
+    /** Bytes of a client's request and the answer to it. */
     private static double requestBytes() {
         String id = "9b1f03aa5c7e2d41";
         return MessageEncoder.message("POST /preview/nhan-dan HTTP/1.1\r\nHost: 10.0.0.4:5000\r\n" + requestHeaders(id)
--- a/src/lab/java/badgermux/lab/FleetSimulation.java
+++ b/src/lab/java/badgermux/lab/FleetSimulation.java
@@ -29,7 +29,7 @@
      * @param meanRunSeconds  the mean work of a request, which is its run time on a warm backend of speed 1
      * @param mayNeedTwoSlots whether some requests need two slots, see {@link Scenario#twoSlotShare}
      * @param targetSeconds   the fixed part of the target time
-     * @param targetStretch   the part of the target time that grows with the work of the request
+     * @param targetStretch   the further target time for each second of the request's work, in seconds
      */
     record ClassModel(String name, double trafficShare, double meanRunSeconds, boolean mayNeedTwoSlots, double targetSeconds,
             double targetStretch, double clientTimeoutSeconds, double worth, Effect effect) { }
@@ -38,8 +38,12 @@
         new ClassModel("preview", 0.37, 0.84, false, 0.6, 1.75, 10, 1, Effect.REPEATABLE),
         new ClassModel("epaper-page", 0.36, 5.1, true, 1.5, 2.5, 25, 2, Effect.REPEATABLE),
         new ClassModel("publish", 0.27, 3.4, true, 2.5, 1.75, 25, 3, Effect.BY_KEY));
-    /** Work that a slot of each machine kind does per second. */
+    /** Seconds of work that a slot of each machine kind does per second. */
     private static final double[] SPEED_BY_KIND = {1.8, 0.88};
+    /** Time of the simulated clock at which a run begins. */
+    private static final long BEGIN_MICROS = 100_000_000;
+    /** Time before a request's deadline at which its attempts time out. */
+    private static final long ANSWER_SLACK_MICROS = 30_000;
     private static final long CONNECT_TIMEOUT_MICROS = 250_000;
     private static final long PROBE_TIMEOUT_MICROS = 500_000;
     private static final long IDLE_TIMEOUT_MICROS = 15_000_000;
@@ -48,7 +52,7 @@
     /** From the start of a backend's drain until its replacement is up. */
     private static final long BOOT_MICROS = 1_500_000;
     private static final int REPLACEMENT_STEPS = 6;
-    /** How long a dispatcher takes no new requests during a planned restart. */
+    /** Time for which a dispatcher takes no new requests during a planned restart. */
     private static final long RESTART_MICROS = 3_700_000;
 
     /** A request of a client, including its client retries. */
@@ -78,7 +82,7 @@
         }
     }
 
-    /** A request as one dispatcher receives it; a client retry is another one. */
+    /** A request as a dispatcher receives it; each client retry is a request of its own. */
     static final class DispatcherRequest {
         final long id;
         final ClientRequest clientRequest;
@@ -130,6 +134,7 @@
         int repeatedKeyCount;
         /** Backends that failed because they were sent too much work while cold. */
         int overloadedBackends;
+        /** The highest ratio of work sent to one backend in a window to the work that it could do in it. */
         double maxOverloadRatio;
         /** The highest share of a zone's slots that attempts from other zones used. */
         double maxSpillShare;
@@ -154,7 +159,7 @@
         final int zone;
         private final UniformRandomProvider networkRandom;
         private final Map<Long, DispatcherRequest> requests = new HashMap<>();
-        private final Map<Long, Long> connectionUsedAt = new HashMap<>();
+        private final Map<Long, Long> connectionUsedAtMicros = new HashMap<>();
         private DefaultDispatchPolicy dispatchPolicy;
         private DispatchPolicy.ZoneLimits zoneLimits;
         private int processNumber;
@@ -170,7 +175,7 @@
             processNumber++;
             isRestarting = false;
             requests.clear();
-            connectionUsedAt.clear();
+            connectionUsedAtMicros.clear();
             DispatchPolicy.LearnedState learnedState = dispatchPolicy == null || !scenario.keepsLearnedState ? null
                 : dispatchPolicy.exportLearnedState();
             DispatchPolicy.Settings settings = settings(number, zone);
@@ -189,7 +194,7 @@
         }
 
         /**
-         * Restarts as planned: the dispatcher serves its open requests until the process stops, while the other dispatchers
+         * Performs a planned restart: the dispatcher serves its open requests until the process stops, while the others
          * receive the new ones. Then it starts again.
          */
         void restart() {
@@ -197,9 +202,9 @@
             events.scheduleAfter(RESTART_MICROS, this::start);
         }
 
-        void updateBackend(SimulatedBackend backend, boolean ready, long startedAt) {
+        void updateBackend(SimulatedBackend backend, boolean ready, long startedAtMicros) {
             dispatchPolicy.backendsListed(nowMicros(), ListUpdate.DELTA, List.of(new DispatchPolicy.Backend(backend.id,
-                backend.zone, backend.kind, 0, ready ? BackendState.READY : BackendState.GONE, startedAt)));
+                backend.zone, backend.kind, 0, ready ? BackendState.READY : BackendState.GONE, startedAtMicros)));
         }
 
         void receiveRequest(ClientRequest clientRequest) {
@@ -208,7 +213,7 @@
             result.dispatcherRequestCount++;
             requests.put(request.id, request);
             dispatchPolicy.requestReceived(nowMicros(), new DispatchPolicy.Request(request.id, clientRequest.classIndex, 0,
-                clientRequest.slots, 0, request.deadlineMicros - 30_000 - nowMicros()));
+                clientRequest.slots, 0, request.deadlineMicros - ANSWER_SLACK_MICROS - nowMicros()));
         }
 
         private long networkDelayMicros(int otherZone) {
@@ -224,17 +229,18 @@
                 countSpilledSlots(backend, attempt, 1);
             }
             int process = processNumber;
-            long idleMicros = nowMicros() - connectionUsedAt.getOrDefault(backendId, Long.MIN_VALUE / 2);
+            long idleMicros = nowMicros() - connectionUsedAtMicros.getOrDefault(backendId, Long.MIN_VALUE / 2);
             if (!backend.isUp && !backend.isSilent) {
                 events.scheduleAfter(networkDelayMicros(backend.zone),
                     () -> endAttempt(attempt, Outcome.CONNECT_FAILED, process));
             } else if (!backend.isUp && idleMicros > IDLE_TIMEOUT_MICROS) {
                 events.scheduleAfter(CONNECT_TIMEOUT_MICROS, () -> endAttempt(attempt, Outcome.CONNECT_FAILED, process));
             } else {
-                connectionUsedAt.put(backendId, nowMicros());
+                connectionUsedAtMicros.put(backendId, nowMicros());
                 events.scheduleAfter(networkDelayMicros(backend.zone), () -> deliverAttempt(attempt, process));
             }
-            events.scheduleAt(request.deadlineMicros - 30_000, () -> endAttempt(attempt, Outcome.TIMED_OUT, process));
+            events.scheduleAt(request.deadlineMicros - ANSWER_SLACK_MICROS,
+                () -> endAttempt(attempt, Outcome.TIMED_OUT, process));
         }
 
         private void deliverAttempt(Attempt attempt, int process) {
@@ -267,10 +273,10 @@
                 return;
             }
             if (outcome == Outcome.SERVED) {
-                connectionUsedAt.put(attempt.backend.id, nowMicros());
+                connectionUsedAtMicros.put(attempt.backend.id, nowMicros());
                 answerRequest(attempt.request, true, 0);
             } else if (outcome != Outcome.REJECTED) {
-                connectionUsedAt.remove(attempt.backend.id);
+                connectionUsedAtMicros.remove(attempt.backend.id);
             }
             dispatchPolicy.attemptEnded(nowMicros(), attempt.request.id, attempt.number, attempt.backend.id, outcome,
                 attempt.request.answerCount > 0, null);
@@ -309,9 +315,9 @@
             handleAnswer(request, served, retryAfterMicros);
         }
 
-        @Override public void startTimer(long delay, int token) {
+        @Override public void startTimer(long delayMicros, int token) {
             int process = processNumber;
-            events.scheduleAfter(delay, () -> {
+            events.scheduleAfter(delayMicros, () -> {
                 if (process == processNumber) {
                     dispatchPolicy.timerFired(nowMicros(), token);
                 }
@@ -336,7 +342,7 @@
         }
 
         @Override public void closeIdleConnections(long backendId) {
-            connectionUsedAt.remove(backendId);
+            connectionUsedAtMicros.remove(backendId);
         }
 
         @Override public void watchBackendList() { }
@@ -356,7 +362,7 @@
     private final BiFunction<DispatchPolicy.Settings, UniformRandomProvider, DispatchPolicy.ZoneLimits> limitsFactory;
     private final EventQueue events = new EventQueue();
     private final Map<Long, SimulatedBackend> backends = new HashMap<>();
-    /** Whether the newest backend list has a backend as ready; dispatchers learn of a change later. */
+    /** Whether the newest backend list says of each backend that it is ready; dispatchers learn of a change later. */
     private final Map<Long, Boolean> listedReady = new HashMap<>();
     private final Map<Long, Long> listedStartMicros = new HashMap<>();
     private final List<SimulatedDispatcher> dispatchers = new ArrayList<>();
@@ -422,7 +428,7 @@
             backend.meanRequestWork = scenario.countsMeanWork ? meanWork : backend.meanRequestWork);
         arrivalsPerSecond = scenario.load * totalCapacity * (scenario.zones - 1) / scenario.zones / meanWork;
         // The policy reads a start time of 0 as "long ago", so the run begins well after time 0.
-        events.runUntil(100_000_000);
+        events.runUntil(BEGIN_MICROS);
         backends.values().stream().limit(Math.round(scenario.initialColdShare * backends.size())).forEach(backend -> {
             backend.startCold(nowMicros());
             listedStartMicros.put(backend.id, nowMicros());
@@ -441,18 +447,19 @@
                 () -> dispatchers.get(scenario.restartedDispatcher).start());
         }
         for (int i = 0; scenario.rollEndSeconds > 0 && i < dispatchers.size(); i++) {
-            double step = Math.floorDiv(10 * i, dispatchers.size()) / 10.0
+            double delaySeconds = Math.floorDiv(10 * i, dispatchers.size()) / 10.0
                 * (scenario.rollEndSeconds - scenario.rollStartSeconds);
-            events.scheduleAt(beginMicros + (long) ((scenario.rollStartSeconds + step) * 1e6), dispatchers.get(i)::restart);
+            events.scheduleAt(beginMicros + (long) ((scenario.rollStartSeconds + delaySeconds) * 1e6),
+                dispatchers.get(i)::restart);
         }
         List<SimulatedBackend> initialBackends = new ArrayList<>(backends.values());
         for (int i = 0; i < scenario.replacedShare * initialBackends.size(); i++) {
-            double step = (i % REPLACEMENT_STEPS) / (double) REPLACEMENT_STEPS
+            double delaySeconds = (i % REPLACEMENT_STEPS) / (double) REPLACEMENT_STEPS
                 * (scenario.replaceEndSeconds - scenario.replaceStartSeconds);
             SimulatedBackend replaced = initialBackends.get(i);
             long id = fleetRandom.nextLong();
             long warmUpMicros = 15_000_000 + fleetRandom.nextInt(8_000_000);
-            events.scheduleAt(beginMicros + (long) ((scenario.replaceStartSeconds + step) * 1e6),
+            events.scheduleAt(beginMicros + (long) ((scenario.replaceStartSeconds + delaySeconds) * 1e6),
                 () -> replaceBackend(replaced, id, warmUpMicros));
         }
         long endMicros = beginMicros + (long) (scenario.durationSeconds * 1e6);
@@ -479,8 +486,8 @@
 
     /** Schedules the next request of a client, which schedules its successor, until {@code endMicros}. */
     private void scheduleArrival(long endMicros) {
-        double gap = ZigguratSampler.Exponential.of(clientRandom, 1e6 / arrivalsPerSecond).sample();
-        events.scheduleAfter((long) gap, () -> {
+        double gapMicros = ZigguratSampler.Exponential.of(clientRandom, 1e6 / arrivalsPerSecond).sample();
+        events.scheduleAfter((long) gapMicros, () -> {
             if (nowMicros() < endMicros) {
                 int classIndex = 0;
                 double draw = clientRandom.nextDouble();
@@ -488,11 +495,11 @@
                     draw -= CLASSES.get(classIndex++).trafficShare;
                 }
                 // A gamma distribution of shape 2: run times vary, but concentrate around their mean.
-                double work = (ZigguratSampler.Exponential.of(clientRandom, 1).sample()
+                double workSeconds = (ZigguratSampler.Exponential.of(clientRandom, 1).sample()
                     + ZigguratSampler.Exponential.of(clientRandom, 1).sample()) / 2 * CLASSES.get(classIndex).meanRunSeconds;
                 int slots = CLASSES.get(classIndex).mayNeedTwoSlots && clientRandom.nextDouble() < scenario.twoSlotShare ? 2 : 1;
                 ClientRequest clientRequest = new ClientRequest(nextKey++, classIndex, clientRandom.nextInt(scenario.zones),
-                    work, slots, nowMicros());
+                    workSeconds, slots, nowMicros());
                 result.clientRequestCount++;
                 double worth = CLASSES.get(classIndex).worth;
                 result.offeredWorth += worth;
@@ -508,7 +515,7 @@
 
     /** Returns the bin of {@link Result#worthByArrivalBin} for the arrival time of a request. */
     private static int arrivalBin(ClientRequest clientRequest) {
-        return (int) Math.min(63, (clientRequest.arrivedAtMicros - 100_000_000) / 5_000_000);
+        return (int) Math.min(63, (clientRequest.arrivedAtMicros - BEGIN_MICROS) / 5_000_000);
     }
 
     private final List<ClientRequest> arrivals = new ArrayList<>();
@@ -524,7 +531,10 @@
         dispatchers.get(choice * scenario.zones + clientRequest.zone).receiveRequest(clientRequest);
     }
 
-    /** Counts a served request; repeats a refused one after its Retry-After, at most twice. */
+    /**
+     * Counts a served request. Sends a refused one again, at most twice, after its Retry-After, but at least 0.5 s; the wait is
+     * prolonged by up to a half.
+     */
     private void handleAnswer(DispatcherRequest request, boolean served, long retryAfterMicros) {
         ClientRequest clientRequest = request.clientRequest;
         if (served) {
@@ -536,10 +546,10 @@
                 result.worthInTimeByZone[clientRequest.zone] += CLASSES.get(clientRequest.classIndex).worth;
             }
         } else if (retryAfterMicros >= 0 && clientRequest.sendCount <= 2) {
-            long wait = Math.max(retryAfterMicros, 500_000);
+            long waitMicros = Math.max(retryAfterMicros, 500_000);
             int dispatcher = (int) Math.floorMod(clientRequest.key * 7 + clientRequest.sendCount,
                 (long) scenario.dispatchersPerZone);
-            events.scheduleAfter(wait + Math.floorMod(clientRequest.key * 7919, wait / 2),
+            events.scheduleAfter(waitMicros + Math.floorMod(clientRequest.key * 7919, waitMicros / 2),
                 () -> sendToDispatcher(clientRequest, dispatcher));
         }
     }
@@ -552,9 +562,9 @@
             return;
         }
         DispatcherRequest request = attempt.request;
-        double work = scenario.countsMeanWork ? CLASSES.get(request.clientRequest.classIndex).meanRunSeconds
+        double workSeconds = scenario.countsMeanWork ? CLASSES.get(request.clientRequest.classIndex).meanRunSeconds
             : request.clientRequest.workSeconds;
-        if (backend.recordWork(nowMicros(), work * request.slots, attempt.dispatcher.number)) {
+        if (backend.recordWork(nowMicros(), workSeconds * request.slots, attempt.dispatcher.number)) {
             backend.isOverloaded = true;
             if (logLines != null) {
                 logLines.add(String.format(java.util.Locale.ROOT, "%7.3f zone backend %s overloaded, up for %.2f s, work %s",
@@ -590,17 +600,17 @@
             backend.usedSlots += request.slots;
             backend.running.add(task);
             int backendProcess = backend.processNumber;
-            int[] zonesOfKey = CLASSES.get(request.clientRequest.classIndex).effect == Effect.BY_KEY
+            int[] keyRunsByZone = CLASSES.get(request.clientRequest.classIndex).effect == Effect.BY_KEY
                 ? runsByKeyAndZone.computeIfAbsent(request.clientRequest.key, k -> new int[scenario.zones]) : null;
-            boolean repeat = zonesOfKey != null && zonesOfKey[backend.zone] > 0;
-            if (zonesOfKey != null && !repeat) {
-                zonesOfKey[backend.zone]++;
+            boolean isRepeat = keyRunsByZone != null && keyRunsByZone[backend.zone] > 0;
+            if (keyRunsByZone != null && !isRepeat) {
+                keyRunsByZone[backend.zone]++;
             }
             task.attempt.dispatcher.reportStart(task.attempt, task.attempt.dispatcher.processNumber);
             // A zone recognizes a key that it has seen: the repeat costs almost nothing and returns the same result.
-            double run = repeat ? 0.01 : request.clientRequest.workSeconds
+            double runSeconds = isRepeat ? 0.01 : request.clientRequest.workSeconds
                 / (backend.speed * Math.max(SimulatedBackend.COLD_CAPACITY_SHARE, backend.capacityShare(nowMicros())));
-            events.scheduleAfter((long) (run * 1e6), () -> {
+            events.scheduleAfter((long) (runSeconds * 1e6), () -> {
                 if (backend.processNumber != backendProcess) {
                     return;
                 }
@@ -617,7 +627,7 @@
 
     private void loseZone(int zone) {
         zoneLossCount++;
-        zoneLostAt = nowMicros();
+        zoneLostAtMicros = nowMicros();
         for (SimulatedBackend backend : backends.values()) {
             if (backend.zone == zone) {
                 backend.isUp = false;
@@ -658,7 +668,7 @@
     }
 
     private void returnZone(int zone) {
-        zoneReturnedAt = nowMicros();
+        zoneReturnedAtMicros = nowMicros();
         for (SimulatedBackend backend : backends.values()) {
             if (backend.zone == zone) {
                 // Machines boot at different times within some seconds.
@@ -673,15 +683,15 @@
     }
 
     /** Tells each dispatcher of a changed backend, each after its own delay. */
-    private void publishBackend(SimulatedBackend backend, boolean ready, long startedAt) {
+    private void publishBackend(SimulatedBackend backend, boolean ready, long startedAtMicros) {
         events.scheduleAfter((long) (scenario.minListDelaySeconds * 1e6), () -> {
             listedReady.put(backend.id, ready);
-            listedStartMicros.put(backend.id, startedAt);
+            listedStartMicros.put(backend.id, startedAtMicros);
         });
         for (SimulatedDispatcher dispatcher : dispatchers) {
             double delaySeconds = scenario.minListDelaySeconds
                 + discoveryRandom.nextDouble() * (scenario.maxListDelaySeconds - scenario.minListDelaySeconds);
-            events.scheduleAfter((long) (delaySeconds * 1e6), () -> dispatcher.updateBackend(backend, ready, startedAt));
+            events.scheduleAfter((long) (delaySeconds * 1e6), () -> dispatcher.updateBackend(backend, ready, startedAtMicros));
         }
     }
 
@@ -694,20 +704,20 @@
     private void scheduleLoadReport(SimulatedBackend backend, UniformRandomProvider random) {
         events.scheduleAfter(310_000 + random.nextInt(570_000), () -> {
             // A slot counts as free even while a queued request of two slots waits for a second one.
-            double free = backend.slots - backend.usedSlots;
-            events.scheduleAfter(scenario.reportLagMicros, () -> backend.reportedFreeSlots = free);
+            double freeSlots = backend.slots - backend.usedSlots;
+            events.scheduleAfter(scenario.reportLagMicros, () -> backend.reportedFreeSlots = freeSlots);
             scheduleLoadReport(backend, random);
         });
     }
 
     // ---- Measurements
 
-    private long zoneLostAt;
-    private long zoneReturnedAt;
+    private long zoneLostAtMicros;
+    private long zoneReturnedAtMicros;
 
     private void recordDarkDetection(String line) {
         if (line.contains(" is dark") && zoneLossCount > 0) {
-            result.darkDetectionSeconds.add((nowMicros() - zoneLostAt) / 1e6);
+            result.darkDetectionSeconds.add((nowMicros() - zoneLostAtMicros) / 1e6);
         }
     }
 
@@ -721,12 +731,12 @@
     }
 
     private void sampleTimeSeries(long beginMicros, long endMicros) {
-        double[] before = servedWorkByZone.clone();
+        double[] workBefore = servedWorkByZone.clone();
         events.scheduleAfter(500_000, () -> {
             double[] row = new double[3 * scenario.zones + 1];
             row[0] = (nowMicros() - beginMicros) / 1e6;
             for (int z = 0; z < scenario.zones; z++) {
-                row[1 + z] = (servedWorkByZone[z] - before[z]) * 2;
+                row[1 + z] = (servedWorkByZone[z] - workBefore[z]) * 2;
                 for (SimulatedBackend backend : backends.values()) {
                     row[1 + scenario.zones + z] += backend.zone == z ? backend.capacity(nowMicros()) : 0;
                 }
@@ -750,15 +760,16 @@
             return;
         }
         int zone = scenario.losses.get(0).zone();
-        double lost = scenario.losses.get(0).startSeconds();
-        double steady = result.timeSeries.stream().filter(r -> r[0] > lost / 2 && r[0] <= lost).mapToDouble(r -> r[1 + zone])
-            .average().orElse(0);
-        double from = (zoneReturnedAt - beginMicros) / 1e6;
+        double lostAtSeconds = scenario.losses.get(0).startSeconds();
+        double throughputBefore = result.timeSeries.stream()
+            .filter(r -> r[0] > lostAtSeconds / 2 && r[0] <= lostAtSeconds)
+            .mapToDouble(r -> r[1 + zone]).average().orElse(0);
+        double returnedAtSeconds = (zoneReturnedAtMicros - beginMicros) / 1e6;
         double sum = 0;
         int count = 0;
         for (int i = 0; i < result.timeSeries.size(); i++) {
             double[] row = result.timeSeries.get(i);
-            if (row[0] < from) {
+            if (row[0] < returnedAtSeconds) {
                 continue;
             }
             sum += row[1 + zone];
@@ -767,8 +778,8 @@
                 sum -= result.timeSeries.get(i - 6)[1 + zone];
                 count--;
             }
-            if (count == 6 && sum / count >= 0.95 * steady) {
-                result.recoverySeconds = row[0] - from;
+            if (count == 6 && sum / count >= 0.95 * throughputBefore) {
+                result.recoverySeconds = row[0] - returnedAtSeconds;
                 return;
             }
         }
@@ -780,32 +791,32 @@
      * the distribution over backends and network delays are ignored.
      */
     private void computeWorthBound(long beginMicros, long endMicros) {
-        List<ClientRequest> open = new ArrayList<>();
-        int next = 0;
+        List<ClientRequest> openRequests = new ArrayList<>();
+        int nextArrival = 0;
         Map<ClientRequest, Double> remainingWork = new HashMap<>();
         for (double[] row : result.timeSeries) {
-            long until = beginMicros + (long) (row[0] * 1e6);
-            while (next < arrivals.size() && arrivals.get(next).arrivedAtMicros < until) {
-                ClientRequest clientRequest = arrivals.get(next++);
-                open.add(clientRequest);
+            long stepEndMicros = beginMicros + (long) (row[0] * 1e6);
+            while (nextArrival < arrivals.size() && arrivals.get(nextArrival).arrivedAtMicros < stepEndMicros) {
+                ClientRequest clientRequest = arrivals.get(nextArrival++);
+                openRequests.add(clientRequest);
                 remainingWork.put(clientRequest, clientRequest.workSeconds * clientRequest.slots);
             }
-            double capacity = 0;
+            double unusedCapacity = 0;
             for (int z = 0; z < scenario.zones; z++) {
-                capacity += row[1 + scenario.zones + z] / 2;
+                unusedCapacity += row[1 + scenario.zones + z] / 2;
             }
-            open.removeIf(clientRequest -> until - 500_000 > clientRequest.targetTimeMicros());
-            open.sort((a, b) -> Double.compare(CLASSES.get(b.classIndex).worth / (b.workSeconds * b.slots),
+            openRequests.removeIf(clientRequest -> stepEndMicros - 500_000 > clientRequest.targetTimeMicros());
+            openRequests.sort((a, b) -> Double.compare(CLASSES.get(b.classIndex).worth / (b.workSeconds * b.slots),
                 CLASSES.get(a.classIndex).worth / (a.workSeconds * a.slots)));
-            for (int i = 0; i < open.size() && capacity > 0;) {
-                ClientRequest clientRequest = open.get(i);
-                double use = Math.min(capacity, remainingWork.get(clientRequest));
-                capacity -= use;
-                if (use >= remainingWork.get(clientRequest)) {
+            for (int i = 0; i < openRequests.size() && unusedCapacity > 0;) {
+                ClientRequest clientRequest = openRequests.get(i);
+                double assignedWork = Math.min(unusedCapacity, remainingWork.get(clientRequest));
+                unusedCapacity -= assignedWork;
+                if (assignedWork >= remainingWork.get(clientRequest)) {
                     result.worthBound += CLASSES.get(clientRequest.classIndex).worth;
-                    open.remove(i);
+                    openRequests.remove(i);
                 } else {
-                    remainingWork.put(clientRequest, remainingWork.get(clientRequest) - use);
+                    remainingWork.put(clientRequest, remainingWork.get(clientRequest) - assignedWork);
                     i++;
                 }
             }
--- a/src/lab/java/badgermux/scale/HollowBackend.java
+++ b/src/lab/java/badgermux/scale/HollowBackend.java
@@ -22,10 +22,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A backend that does no work: it accepts attempts, ends each after its run time, answers probes with load reports, and can
- * drain, crash and start again cold. All state is confined to its event loop.
+ * A backend that only simulates work: it accepts attempts, ends each after its run time, answers probes with load reports, and
+ * can drain, crash and start again cold. All state is confined to its event loop.
  */
 final class HollowBackend {
+    /** Number of attempts in the queue at which a further one is rejected. */
     private static final int MAX_QUEUED = 16;
     private static final int ACCEPT_BACKLOG = 16;
     private static final String NOT_PROCESSED = "X-Not-Processed: 1\r\n";
@@ -33,13 +34,13 @@
     enum Phase { SERVING, DRAINING, DOWN }
 
     /** An accepted attempt, until the end of its response. */
-    private static final class Task {
+    private static final class AcceptedAttempt {
         private final String id;
         private final Connection connection;
-        /** Whether the connection has closed. */
+        /** Whether the dispatcher has closed the connection. */
         private boolean isAbandoned;
 
-        Task(String id, Connection connection) {
+        AcceptedAttempt(String id, Connection connection) {
             this.id = id;
             this.connection = connection;
         }
@@ -53,11 +54,11 @@
     private final SendRules rules;
     private final List<Channel> listeners = new ArrayList<>();
     private final List<Set<Connection>> connections = new ArrayList<>();
-    private final ArrayDeque<Task> queued = new ArrayDeque<>();
-    /** Whether each port is cut off. */
+    private final ArrayDeque<AcceptedAttempt> queued = new ArrayDeque<>();
+    /** Whether the port with each index is cut off. */
     private final boolean[] isCutOff;
     private Phase phase = Phase.DOWN;
-    /** Grows with each crash; attempts that started under an earlier number no longer exist. */
+    /** Number of the simulated process, which grows with each crash; attempts that started in an earlier process are lost. */
     private int processNumber;
     private int running;
     /** The {@link System#nanoTime} of the last cold start; 0 if the backend started warm. */
@@ -89,12 +90,12 @@
         int[] ports = new int[portCount];
         listeners.clear();
         for (int p = 0; p < portCount; p++) {
-            int port = p;
+            int portIndex = p;
             Channel channel = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG).childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override protected void initChannel(SocketChannel accepted) {
-                        accepted.pipeline().addLast(new Connection(port));
+                        accepted.pipeline().addLast(new Connection(portIndex));
                     }
                 }).bind("127.0.0.1", 0).sync().channel();
             listeners.add(channel);
@@ -111,14 +112,17 @@
         drainChange = 0;
     }
 
-    /** Starts draining, and returns the queued attempts. {@code change} is the number of the list change that announces it. */
+    /**
+     * Starts draining, and sends the queued attempts back to their dispatchers. {@code change} is the number of the change of the
+     * backend list that announces the drain.
+     */
     void drain(long change) {
         phase = Phase.DRAINING;
         rules.recordDrain();
         drainChange = change;
-        for (Task task = queued.poll(); task != null; task = queued.poll()) {
-            sendLine(task, "returned", "");
-            endResponse(task);
+        for (AcceptedAttempt attempt = queued.poll(); attempt != null; attempt = queued.poll()) {
+            sendLine(attempt, "returned", "");
+            endResponse(attempt);
         }
     }
 
@@ -137,16 +141,16 @@
     }
 
     /**
-     * Cuts off the dispatchers that use one of the ports, or heals the cut. Connections stay open without any response, and
-     * new ones succeed only up to the system's accept backlog. When the cut is healed, the old connections are reset.
+     * Cuts off the dispatchers that use one of the ports, or ends the cut. Connections stay open without any response, and
+     * new ones succeed only up to the system's accept backlog. When the cut ends, the old connections are reset.
      */
-    void setCutOff(int port, boolean cutOff) {
-        isCutOff[port] = cutOff;
+    void setCutOff(int portIndex, boolean cutOff) {
+        isCutOff[portIndex] = cutOff;
         if (phase == Phase.DOWN) {
             return;
         }
-        listeners.get(port).config().setAutoRead(!cutOff);
-        for (Connection connection : List.copyOf(connections.get(port))) {
+        listeners.get(portIndex).config().setAutoRead(!cutOff);
+        for (Connection connection : List.copyOf(connections.get(portIndex))) {
             if (cutOff) {
                 connection.stopReading();
             } else {
@@ -174,50 +178,51 @@
         }
         send(connection, Unpooled.copiedBuffer("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
             StandardCharsets.ISO_8859_1));
-        connection.task = new Task(id, connection);
-        queued.add(connection.task);
+        connection.attempt = new AcceptedAttempt(id, connection);
+        queued.add(connection.attempt);
         startQueued();
     }
 
     private void startQueued() {
         while (running < FleetLayout.SLOTS && !queued.isEmpty()) {
-            Task task = queued.poll();
-            if (!task.isAbandoned) {
-                run(task);
+            AcceptedAttempt attempt = queued.poll();
+            if (!attempt.isAbandoned) {
+                run(attempt);
             }
         }
     }
 
-    private void run(Task task) {
+    private void run(AcceptedAttempt attempt) {
         running++;
-        sendLine(task, "started", "");
-        int startedIn = processNumber;
-        long micros = (long) (1_000 * warmRunMs(task.id) / SendRules.capacityShare(coldSinceNanos, System.nanoTime()));
+        sendLine(attempt, "started", "");
+        int startedInProcess = processNumber;
+        long runMicros = (long) (1_000 * warmRunMs(attempt.id) / SendRules.capacityShare(coldSinceNanos, System.nanoTime()));
         loop.schedule(() -> {
-            if (processNumber == startedIn) {
+            if (processNumber == startedInProcess) {
                 running--;
-                sendLine(task, "done", ",\"result\":\"ok\"");
-                endResponse(task);
+                sendLine(attempt, "done", ",\"result\":\"ok\"");
+                endResponse(attempt);
                 startQueued();
             }
-        }, micros, TimeUnit.MICROSECONDS);
+        }, runMicros, TimeUnit.MICROSECONDS);
     }
 
-    /** Returns the run time of a request on a warm backend. It is drawn from the id, so all attempts take the same time. */
+    /** Returns the run time of a request on a warm backend. It follows from the id, so all its attempts take the same time. */
     private double warmRunMs(String id) {
         double draw = (Names.hash(id) >>> 11) * 0x1p-53;
         return meanRunMs * (FleetLayout.MIN_RUN_FACTOR + draw * (FleetLayout.MAX_RUN_FACTOR - FleetLayout.MIN_RUN_FACTOR));
     }
 
-    private void sendLine(Task task, String state, String moreFields) {
-        String line = "{\"id\":\"" + task.id + "\",\"from\":\"s-" + number + "\",\"state\":\"" + state + '"' + moreFields + "}\n";
-        send(task.connection, Unpooled.copiedBuffer(Integer.toHexString(line.length()) + "\r\n" + line + "\r\n",
+    private void sendLine(AcceptedAttempt attempt, String state, String moreFields) {
+        String line = "{\"id\":\"" + attempt.id + "\",\"from\":\"s-" + number + "\",\"state\":\"" + state + '"' + moreFields
+            + "}\n";
+        send(attempt.connection, Unpooled.copiedBuffer(Integer.toHexString(line.length()) + "\r\n" + line + "\r\n",
             StandardCharsets.ISO_8859_1));
     }
 
-    private void endResponse(Task task) {
-        task.connection.task = null;
-        send(task.connection, Unpooled.copiedBuffer("0\r\n\r\n", StandardCharsets.ISO_8859_1));
+    private void endResponse(AcceptedAttempt attempt) {
+        attempt.connection.attempt = null;
+        send(attempt.connection, Unpooled.copiedBuffer("0\r\n\r\n", StandardCharsets.ISO_8859_1));
     }
 
     private void send(Connection connection, ByteBuf message) {
@@ -227,12 +232,12 @@
 
     /** A connection of a dispatcher. */
     private final class Connection extends HttpServerConnection {
-        private final int port;
-        private Task task;
+        private final int portIndex;
+        private AcceptedAttempt attempt;
 
-        Connection(int port) {
-            this.port = port;
-            connections.get(port).add(this);
+        Connection(int portIndex) {
+            this.portIndex = portIndex;
+            connections.get(portIndex).add(this);
         }
 
         @Override void onRequest(MessageHead head, long bytes) {
@@ -247,10 +252,10 @@
 
         /** Drops a queued attempt; a running one keeps its slot until its end. */
         @Override void onClosed() {
-            connections.get(port).remove(this);
-            if (task != null) {
-                task.isAbandoned = true;
-                queued.remove(task);
+            connections.get(portIndex).remove(this);
+            if (attempt != null) {
+                attempt.isAbandoned = true;
+                queued.remove(attempt);
             }
         }
     }
--- a/src/lab/java/badgermux/scale/ScaleRun.java
+++ b/src/lab/java/badgermux/scale/ScaleRun.java
@@ -27,15 +27,17 @@
 public final class ScaleRun implements Closeable {
     private static final int BACKEND_LOOPS = 2;
     private static final int MAX_PROCESSES = 200;
+    /** Lower limit of the connections to backends that one dispatcher may have. */
     private static final int MIN_CONNECTIONS = 24;
     /** The descriptors of this process for the listeners and connections of the backends, some of which close late under load. */
     private static final int DESCRIPTORS = 16_000;
+    /** Upper limit of the connections to backends that one dispatcher may have. */
     private static final int MAX_CONNECTIONS = 600;
     /** Memory of a real dispatcher. */
     private static final int REAL_MB = 192;
     /** Memory of this process. */
     private static final int OWN_MB = 2_048;
-    /** Memory of a process of hollow dispatchers beyond its heap, and the heap beyond its lists. */
+    /** Memory of a process of hollow dispatchers in addition to its heap, and also the part of the heap that holds no lists. */
     private static final int PROCESS_BASE_MB = 96;
     private static final int MAX_HEAP_MB = 2_048;
     /** Memory of one entry of the backend list in one hollow dispatcher. */
@@ -86,8 +88,8 @@
 
     /** Performs the run. {@code command} and {@code commit} are copied to the result. */
     public ScaleResult run(String command, String commit) throws IOException, InterruptedException {
-        String started = Instant.now().toString();
-        double load = ManagementFactory.getOperatingSystemMXBean().getSystemLoadAverage();
+        String startedAt = Instant.now().toString();
+        double loadAverage = ManagementFactory.getOperatingSystemMXBean().getSystemLoadAverage();
         checkSize();
         startDiscoveryAndBackends();
         startDispatchers();
@@ -106,7 +108,7 @@
         Measurement after = measure();
         faultInjector.stopChurn();
         finish();
-        return result(started, load, command, commit, before, after, firstChange);
+        return result(startedAt, loadAverage, command, commit, before, after, firstChange);
     }
 
     /** Returns the requests per second of one dispatcher. */
@@ -115,8 +117,8 @@
     }
 
     private int childHeapMb() {
-        double lists = MB_PER_BACKEND_AND_DISPATCHER * options.workers * Math.min(options.perProcess, options.dispatchers);
-        return (int) Math.min(MAX_HEAP_MB, PROCESS_BASE_MB + 3 * lists);
+        double listsMb = MB_PER_BACKEND_AND_DISPATCHER * options.workers * Math.min(options.perProcess, options.dispatchers);
+        return (int) Math.min(MAX_HEAP_MB, PROCESS_BASE_MB + 3 * listsMb);
     }
 
     private int childCount() {
@@ -168,8 +170,8 @@
 
     /** Returns how many connections to backends a dispatcher may have. */
     private int connectionsPerDispatcher() {
-        int connections = DESCRIPTORS - options.workers * layout.portsPerBackend();
-        return Math.max(MIN_CONNECTIONS, Math.min(MAX_CONNECTIONS, connections / options.allDispatchers()));
+        int descriptors = DESCRIPTORS - options.workers * layout.portsPerBackend();
+        return Math.max(MIN_CONNECTIONS, Math.min(MAX_CONNECTIONS, descriptors / options.allDispatchers()));
     }
 
     private boolean allUpToDate() {
@@ -185,15 +187,15 @@
     /** Waits for the length of the measured part, and takes a sample each second. */
     private void runMeasuredPart() throws IOException, InterruptedException {
         long startNanos = System.nanoTime();
-        Map<TrafficCounter.Purpose, TrafficCounter.Bytes> last = traffic.sums();
+        Map<TrafficCounter.Purpose, TrafficCounter.Bytes> previousSums = traffic.sums();
         for (int second = 1; second <= options.seconds; second++) {
-            long due = startNanos + second * TimeUnit.SECONDS.toNanos(1);
-            TimeUnit.NANOSECONDS.sleep(Math.max(0, due - System.nanoTime()));
+            long dueNanos = startNanos + second * TimeUnit.SECONDS.toNanos(1);
+            TimeUnit.NANOSECONDS.sleep(Math.max(0, dueNanos - System.nanoTime()));
             Map<TrafficCounter.Purpose, TrafficCounter.Bytes> sums = traffic.sums();
-            samples.add(new ScaleResult.Sample(second, bytesPerDispatcher(sums, last, TrafficCounter.Purpose.LISTS),
-                bytesPerDispatcher(sums, last, TrafficCounter.Purpose.PROBES),
-                bytesPerDispatcher(sums, last, TrafficCounter.Purpose.ATTEMPTS), propagation.upToDateCount()));
-            last = sums;
+            samples.add(new ScaleResult.Sample(second, bytesPerDispatcher(sums, previousSums, TrafficCounter.Purpose.LISTS),
+                bytesPerDispatcher(sums, previousSums, TrafficCounter.Purpose.PROBES),
+                bytesPerDispatcher(sums, previousSums, TrafficCounter.Purpose.ATTEMPTS), propagation.upToDateCount()));
+            previousSums = sums;
             if (second % PROGRESS_INTERVAL_SECONDS == 0) {
                 printProgress(second + " of " + options.seconds + " s, " + propagation.changeCount() + " changes, "
                     + propagation.upToDateCount() + " of " + options.allDispatchers() + " dispatchers up to date, "
@@ -211,7 +213,7 @@
         return (double) (bytes.in() + bytes.out()) / options.allDispatchers();
     }
 
-    /** Restarts all dispatchers as planned: each answers its open requests, exits, and starts again without a list. */
+    /** Performs a planned restart of all dispatchers: each answers its open requests, exits, and starts again without a list. */
     private void restartAll() throws IOException, InterruptedException {
         pauseClients(true);
         for (RealDispatcher dispatcher : real) {
@@ -276,7 +278,7 @@
 
     // ---- Figures
 
-    /** The figures at one moment. */
+    /** Use of processor time and memory of each process, and bytes sent so far, at one moment. */
     private record Measurement(long atNanos, List<ProcessUsage> hollow, List<ProcessUsage> real,
         Map<TrafficCounter.Purpose, TrafficCounter.Bytes> bytes) { }
 
@@ -298,7 +300,7 @@
         return 100 * (after.cpuSeconds() - (restarted ? 0 : before.cpuSeconds())) / seconds;
     }
 
-    private ScaleResult result(String started, double load, String command, String commit, Measurement before,
+    private ScaleResult result(String startedAt, double loadAverage, String command, String commit, Measurement before,
             Measurement after, long firstChange) {
         double seconds = (after.atNanos - before.atNanos) / 1e9;
         Map<String, TrafficCounter.Bytes> bytes = new LinkedHashMap<>();
@@ -309,10 +311,10 @@
             bytesPerSecond.put(purpose.name().toLowerCase(Locale.ROOT),
                 (measured.in() + measured.out()) / seconds / options.allDispatchers());
         });
-        List<ScaleResult.Real> reals = new ArrayList<>();
+        List<ScaleResult.Real> realResults = new ArrayList<>();
         for (int d = 0; d < options.real; d++) {
             LoadGenerator client = clients.get(d);
-            reals.add(new ScaleResult.Real(d, cpuPercent(before.real.get(d), after.real.get(d), seconds),
+            realResults.add(new ScaleResult.Real(d, cpuPercent(before.real.get(d), after.real.get(d), seconds),
                 after.real.get(d).rssMb(), new ScaleResult.Requests(client.asked.get(), client.served.get(),
                     client.synthetic.get(), client.failed.get(), client.lost.get() + client.openCount(), 0, client.resent.get()),
                 Times.ofMicros(client.health)));
@@ -321,9 +323,9 @@
         ScaleResult.Hollow hollow = hollow(before, after, seconds);
         ScaleResult.Rules ruleCounts = rules.result();
         long notInForce = propagation.notInForceCount(firstChange);
-        List<String> faults = faults(hollow, reals, ruleCounts, notInForce);
-        return new ScaleResult(faults.isEmpty(), faults, command, commit, started, load, options, hollow, reals, bytes,
-            bytesPerSecond,
+        List<String> faults = faults(hollow, realResults, ruleCounts, notInForce);
+        return new ScaleResult(faults.isEmpty(), faults, command, commit, startedAt, loadAverage, options, hollow, realResults,
+            bytes, bytesPerSecond,
             propagation.changeCount() - firstChange + 1, propagation.untilInForce(),
             propagation.untilInForceEverywhere(firstChange, 0),
             healedAtNanos == 0 ? null : propagation.untilInForceEverywhere(firstChange, healedAtNanos), restartMs, notInForce,
@@ -331,12 +333,12 @@
     }
 
     /** Returns the faults that make the run fail, each as a count with a description. */
-    private List<String> faults(ScaleResult.Hollow hollow, List<ScaleResult.Real> reals, ScaleResult.Rules ruleCounts,
+    private List<String> faults(ScaleResult.Hollow hollow, List<ScaleResult.Real> realResults, ScaleResult.Rules ruleCounts,
             long notInForce) {
         Map<String, Long> counts = new LinkedHashMap<>();
         counts.put("requests of hollow dispatchers lost", hollow.requests().lost());
         counts.put("second answers", hollow.requests().second());
-        counts.put("requests of real dispatchers lost", reals.stream().mapToLong(r -> r.requests().lost()).sum());
+        counts.put("requests of real dispatchers lost", realResults.stream().mapToLong(r -> r.requests().lost()).sum());
         counts.put("exceptions", hollow.counts().getOrDefault(Count.EXCEPTIONS, 0L));
         counts.put("steps of the script that failed", (long) steps.failed());
         counts.put("sends after a drain", ruleCounts.afterDrain());
@@ -353,22 +355,22 @@
     }
 
     private ScaleResult.Hollow hollow(Measurement before, Measurement after, double seconds) {
-        double cpu = 0;
+        double cpuPercent = 0;
         for (int i = 0; i < after.hollow.size(); i++) {
-            cpu += cpuPercent(before.hollow.get(i), after.hollow.get(i), seconds);
+            cpuPercent += cpuPercent(before.hollow.get(i), after.hollow.get(i), seconds);
         }
         Map<Count, Long> counts = new EnumMap<>(Count.class);
         finalReports.forEach(report -> report.counts().forEach((count, value) -> counts.merge(count, value, Long::sum)));
-        double rss = after.hollow.stream().mapToDouble(ProcessUsage::rssMb).sum();
-        double heap = finalReports.subList(finalReports.size() - after.hollow.size(), finalReports.size()).stream()
+        double rssMb = after.hollow.stream().mapToDouble(ProcessUsage::rssMb).sum();
+        double heapMb = finalReports.subList(finalReports.size() - after.hollow.size(), finalReports.size()).stream()
             .mapToDouble(HollowProcess.Report::heapBytes).sum() / BYTES_PER_MB;
-        int count = Math.max(1, options.dispatchers);
+        int dispatcherCount = Math.max(1, options.dispatchers);
         ScaleResult.Requests requests = new ScaleResult.Requests(sum(HollowProcess.Report::asked),
             sum(HollowProcess.Report::served), sum(HollowProcess.Report::synthetic), sum(HollowProcess.Report::failed),
             sum(HollowProcess.Report::lost), sum(HollowProcess.Report::second), 0);
-        return new ScaleResult.Hollow(after.hollow.size(), cpu / count, rss / count, heap / count, requests,
-            worst(HollowProcess.Report::loopLate), worst(HollowProcess.Report::news), worst(HollowProcess.Report::decisions),
-            counts);
+        return new ScaleResult.Hollow(after.hollow.size(), cpuPercent / dispatcherCount, rssMb / dispatcherCount,
+            heapMb / dispatcherCount, requests, worst(HollowProcess.Report::loopLate),
+            worst(HollowProcess.Report::news), worst(HollowProcess.Report::decisions), counts);
     }
 
     private long sum(ToLongFunction<HollowProcess.Report> value) {
--- a/src/lab/java/badgermux/scale/SendRules.java
+++ b/src/lab/java/badgermux/scale/SendRules.java
@@ -18,7 +18,7 @@
     private static final long WARM_UP_NANOS = TimeUnit.MILLISECONDS.toNanos(FleetLayout.WARM_UP_MS);
     private static final int MAX_VIOLATION_LINES = 20;
 
-    /** The work that a cold backend was sent within the overload window, in milliseconds of a slot. */
+    /** The work that a cold backend was sent within the overload window, in milliseconds for which it takes a slot. */
     static final class ColdBudget {
         private record Work(long sentAtNanos, double slotMillis) { }
 
@@ -35,26 +35,26 @@
     private final ChangePropagation propagation;
     private final LongSupplier nanoClock;
     private final LongAdder sends = new LongAdder();
-    private final LongAdder afterDrain = new LongAdder();
-    private final LongAdder overCold = new LongAdder();
+    private final LongAdder sendsAfterDrain = new LongAdder();
+    private final LongAdder coldStartsOverBudget = new LongAdder();
     private final LongAdder coldSends = new LongAdder();
     private final LongAdder drains = new LongAdder();
     private final List<String> violations = new ArrayList<>();
 
-    /** {@code nanoClock} is the clock of the times in {@code propagation}. */
+    /** {@code nanoClock} is the clock by which {@code propagation} records its times. */
     SendRules(ChangePropagation propagation, LongSupplier nanoClock) {
         this.propagation = propagation;
         this.nanoClock = nanoClock;
     }
 
-    /** Returns the share of its capacity that a backend has; {@code coldSinceNanos} is 0 for a warm one. */
+    /** Returns the share of a warm backend's capacity that a backend has; {@code coldSinceNanos} is 0 if it is warm. */
     static double capacityShare(long coldSinceNanos, long nowNanos) {
-        double warmUpShare = (nowNanos - coldSinceNanos) / (double) WARM_UP_NANOS;
+        double elapsedWarmUpShare = (nowNanos - coldSinceNanos) / (double) WARM_UP_NANOS;
         return coldSinceNanos == 0 ? 1 : Math.min(1,
-            FleetLayout.COLD_CAPACITY_SHARE + (1 - FleetLayout.COLD_CAPACITY_SHARE) * warmUpShare);
+            FleetLayout.COLD_CAPACITY_SHARE + (1 - FleetLayout.COLD_CAPACITY_SHARE) * elapsedWarmUpShare);
     }
 
-    /** Counts a drain. */
+    /** Counts a backend that begins to drain. */
     void recordDrain() {
         drains.increment();
     }
@@ -63,17 +63,17 @@
     void recordAttempt(int dispatcher, int backend, long drainChange) {
         sends.increment();
         long knownSinceNanos = drainChange == 0 ? Long.MAX_VALUE : propagation.firstSentAtNanos(dispatcher, drainChange);
-        long lateNanos = knownSinceNanos == Long.MAX_VALUE ? 0 : nanoClock.getAsLong() - knownSinceNanos;
-        if (lateNanos > STOP_SENDING_NANOS) {
-            afterDrain.increment();
-            addViolation("dispatcher " + dispatcher + " sent to worker " + backend + " " + lateNanos / 1_000_000
+        long nanosSinceKnown = knownSinceNanos == Long.MAX_VALUE ? 0 : nanoClock.getAsLong() - knownSinceNanos;
+        if (nanosSinceKnown > STOP_SENDING_NANOS) {
+            sendsAfterDrain.increment();
+            addViolation("dispatcher " + dispatcher + " sent to worker " + backend + " " + nanosSinceKnown / 1_000_000
                 + " ms after its drain");
         }
     }
 
     /**
-     * Counts work that a backend received after a cold start. Returns its budget, or null once it is warm. Of N allowed
-     * requests, 3 times the square root of N and 3 more are tolerated as chance.
+     * Counts an attempt that a backend received after a cold start, and its work. Returns the budget, or null once the backend
+     * is warm. Where N requests are allowed, N + 3 * sqrt(N) + 3 are tolerated, as chance may bring more than N.
      */
     ColdBudget recordColdWork(ColdBudget budget, int backend, long coldSinceNanos, double slotMillis) {
         long nowNanos = nanoClock.getAsLong();
@@ -91,7 +91,7 @@
         if (!budget.isExceeded && budget.recentSlotMillis / budget.meanRunMs
                 > allowedRequests + 3 * Math.sqrt(allowedRequests) + 3) {
             budget.isExceeded = true;
-            overCold.increment();
+            coldStartsOverBudget.increment();
             addViolation("cold worker " + backend + " was sent " + budget.recentSlotMillis / budget.meanRunMs
                 + " mean tasks, allowed " + allowedRequests);
         }
@@ -99,15 +99,15 @@
     }
 
     /** Keeps the description of a violation, up to a limit. */
-    private synchronized void addViolation(String line) {
+    private synchronized void addViolation(String description) {
         if (violations.size() < MAX_VIOLATION_LINES) {
-            violations.add(line);
+            violations.add(description);
         }
     }
 
     /** Returns the counts so far. */
     synchronized ScaleResult.Rules result() {
-        return new ScaleResult.Rules(sends.sum(), drains.sum(), coldSends.sum(), afterDrain.sum(), overCold.sum(),
-            List.copyOf(violations));
+        return new ScaleResult.Rules(sends.sum(), drains.sum(), coldSends.sum(), sendsAfterDrain.sum(),
+            coldStartsOverBudget.sum(), List.copyOf(violations));
     }
 }
--- a/src/test/java/badgermux/decide/RulesTest.java
+++ b/src/test/java/badgermux/decide/RulesTest.java
@@ -29,7 +29,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** The four rules of the policy, and each condition that keeps them. */
+/** Tests the four rules that the policy must keep, each in the conditions that could lead the policy to break it. */
 class RulesTest {
     private PolicyFixture fixture = new PolicyFixture();
 
@@ -95,7 +95,7 @@
         fixture.start(fleet(4));
         long request = fixture.request(PAY);
         fixture.endAttempt(request, 0, Outcome.SERVED);
-        int actions = fixture.actions.descriptions.size();
+        int actionCount = fixture.actions.descriptions.size();
         fixture.policy.attemptStarted(fixture.actions.now, request, 0);
         fixture.policy.attemptProgressed(fixture.actions.now, 99, 3);
         fixture.policy.responseStreaming(fixture.actions.now, 99, 0);
@@ -105,7 +105,7 @@
         fixture.policy.attemptEnded(fixture.actions.now, 99, 7, 55, Outcome.SERVED, true, PolicyFixture.reportOfFreeSlots(3));
         fixture.policy.probeEnded(fixture.actions.now, 55, true, PolicyFixture.reportOfFreeSlots(3));
         fixture.policy.timerFired(fixture.actions.now, 123_456);
-        assertEquals(actions, fixture.actions.descriptions.size(), () -> fixture.actions.descriptions.toString());
+        assertEquals(actionCount, fixture.actions.descriptions.size(), () -> fixture.actions.descriptions.toString());
     }
 
     // ---- Rule 2: no effect twice
@@ -115,9 +115,9 @@
         fixture.start(fleet(8));
         long request = fixture.request(PAY);
         fixture.endAttempt(request, 0, outcome);
-        boolean again = outcome.neverRan();
-        assertEquals(again ? 2 : 1, fixture.sendCount(request));
-        assertEquals(again || outcome == Outcome.SERVED ? List.of() : List.of(request), fixture.actions.failed);
+        boolean isRetried = outcome.neverRan();
+        assertEquals(isRetried ? 2 : 1, fixture.sendCount(request));
+        assertEquals(isRetried || outcome == Outcome.SERVED ? List.of() : List.of(request), fixture.actions.failed);
         assertEquals(List.of(), fixture.actions.refused);
     }
 
@@ -128,10 +128,10 @@
         fixture.endAttempt(rejected, 0, Outcome.REJECTED);
         fixture.endAttempt(rejected, 1, Outcome.REJECTED);
         assertEquals(List.of(rejected), fixture.actions.refused);
-        long ran = fixture.request(PAY);
-        fixture.endAttempt(ran, 0, Outcome.REJECTED);
-        fixture.endAttempt(ran, 1, Outcome.RESET);
-        assertEquals(List.of(ran), fixture.actions.failed);
+        long mayHaveRun = fixture.request(PAY);
+        fixture.endAttempt(mayHaveRun, 0, Outcome.REJECTED);
+        fixture.endAttempt(mayHaveRun, 1, Outcome.RESET);
+        assertEquals(List.of(mayHaveRun), fixture.actions.failed);
     }
 
     /** Where backends also reject work that they have begun, a keyed request must not go on to another zone. */
@@ -189,16 +189,16 @@
         assertEquals(1, fixture.sendCount(request));
     }
 
-    // ---- Where a class may run
+    // ---- Where a class may run, and further cases of rule 2
 
-    /** Also if all backends there are busy, or the random draw falls on another group, and for hedged attempts. */
+    /** This holds also if all allowed backends are busy or the random draw falls on other ones, and for hedged attempts. */
     @Test void everyAttemptStaysWhereItsClassMayRun() {
         fixture.settings.reportMode = ReportMode.NEVER;
         fixture.settings.classes.add(new RequestClass("bound", Effect.REPEATABLE, DedupScope.ALL, 300 * MS, 1.5, 5 * SECOND, 0,
             1, 0.5, null, Set.of(1), false));
         fixture.start(fleet(16));
         for (int i = 0; i < 30; i++) {
-            long request = fixture.request(3);
+            long request = fixture.request(3);   // the class added above
             if (i % 2 == 0) {
                 fixture.endAttempt(request, 0, Outcome.REJECTED);
             }
@@ -213,7 +213,7 @@
         fixture.settings.classes.add(new RequestClass("bound", Effect.ONCE, DedupScope.ALL, 300 * MS, 1.5, 5 * SECOND, 0,
             1, 0, Set.of(0), Set.of(1), false));
         fixture.start(fleet(4));
-        long request = fixture.request(3);
+        long request = fixture.request(3);   // the class added above
         fixture.listBackends(ListUpdate.DELTA, new Backend(5, 1, 1, 2, BackendState.READY, 0));
         fixture.advance(50 * MS);
         assertEquals(0, fixture.sendCount(request), "the backend is in the right zone, but of the wrong kind");
@@ -247,7 +247,7 @@
         }
     }
 
-    /** A late request that earns nothing would be given up before its window matters. */
+    /** Gives late saves half their worth: the policy gives up a late request that earns nothing before its window matters. */
     private void makeLateSavesEarnHalf() {
         fixture.settings.classes.set(SAVE, new RequestClass("save", Effect.BY_KEY, DedupScope.CELL, 300 * MS, 1.5, 5 * SECOND,
             3 * SECOND, 1, 0.5, -1, false));
@@ -289,9 +289,9 @@
         fixture.settings.connectTimeoutMicros = 300 * MS;
         fixture.settings.mayHedge = false;
         fixture.start(fleet(8));
-        long window = fixture.settings.classes.get(SAVE).dedupWindowMicros();
+        long windowMicros = fixture.settings.classes.get(SAVE).dedupWindowMicros();
         long early = fixture.request(SAVE), late = fixture.request(SAVE);
-        fixture.advance(window - 400 * MS);
+        fixture.advance(windowMicros - 400 * MS);
         fixture.endAttempt(early, 0, Outcome.RESET);
         assertEquals(2, fixture.sendCount(early));
         fixture.advance(200 * MS);
@@ -300,7 +300,7 @@
         assertEquals(List.of(late), fixture.actions.failed);
     }
 
-    /** A request moved to another backend because it did not start would run twice where cancelling stops nothing. */
+    /** Where a cancelled attempt runs all the same, a request moved to another backend for not starting would run twice. */
     @Test void requestIsNeitherHedgedNorMovedWhereThatIsForbidden() {
         fixture.settings.mayHedge = false;
         fixture.start(fleet(8));
@@ -316,7 +316,7 @@
         fixture.settings.classes.add(new RequestClass("stream", Effect.REPEATABLE, DedupScope.ALL, 300 * MS, 1.5, 5 * SECOND,
             0, 1, 0, -1, true));
         fixture.start(fleet(8));
-        long request = fixture.request(3);
+        long request = fixture.request(3);   // the class added above
         fixture.advance(SECOND);
         fixture.policy.responseStreaming(fixture.actions.now, request, 0);
         fixture.endAttempt(request, 0, Outcome.RESET);
@@ -395,13 +395,13 @@
     // ---- Rule 4: cold backends
 
     /**
-     * Returns the work sent to a cold backend of 2 slots. It has a quarter of its capacity, and may get twice that for 1 s from
-     * all dispatchers together.
+     * Returns the work, in microseconds of run time, sent to a cold backend of 2 slots. It has a quarter of its capacity, and
+     * may get twice that for 1 s from all dispatchers together: 2 x 2 slots x 0.25, for 1 s.
      */
-    private double workSentToAColdBackend(int requests, long run) {
+    private double workSentToAColdBackend(int requests, long runMicros) {
         fixture.start(backend(1, BackendState.READY, 0), backend(2, BackendState.READY, 0));
         for (int i = 0; i < 5; i++) {
-            fixture.serve(RENDER, run, PolicyFixture.reportOfFreeSlots(2));
+            fixture.serve(RENDER, runMicros, PolicyFixture.reportOfFreeSlots(2));
         }
         fixture.advance(2 * SECOND);
         fixture.listBackends(ListUpdate.DELTA, backend(3, BackendState.READY, fixture.actions.now));
@@ -412,7 +412,7 @@
             long request = fixture.request(RENDER);
             fixture.endAttempt(request, 0, Outcome.SERVED);
         }
-        return fixture.actions.sends.stream().filter(send -> send.backendId() == 3).count() * run;
+        return fixture.actions.sends.stream().filter(send -> send.backendId() == 3).count() * runMicros;
     }
 
     @Test void coldBackendGetsNoMoreThanItsBudgetIncludingEndedWork() {
@@ -421,7 +421,7 @@
         assertTrue(work <= 2 * 2 * 0.25 * SECOND / 2, "sent " + work);
     }
 
-    /** A backend that restarts under its id must not get a window's work again from a dispatcher that has just sent it. */
+    /** A backend restarts under the same id: a dispatcher that has just sent it the work of one window must not do so again. */
     @Test void sendsBeforeARestartBecameKnownCountAgainstTheBudget() {
         fixture.settings.dispatcherCount = 1;
         fixture.start(backend(3, BackendState.READY, 0));
@@ -429,14 +429,14 @@
             fixture.serve(RENDER, 50 * MS, PolicyFixture.reportOfFreeSlots(2));
         }
         fixture.advance(2 * SECOND);
-        int before = fixture.actions.sends.size();
+        int sentBefore = fixture.actions.sends.size();
         for (int i = 0; i < 70; i++) {
             if (i == 10) {
                 fixture.listBackends(ListUpdate.DELTA, backend(3, BackendState.READY, fixture.actions.now - 1));
             }
             fixture.endAttempt(fixture.request(RENDER), 0, Outcome.SERVED);
         }
-        assertEquals(10, fixture.actions.sends.size() - before, "half of 2 x 2 x 0.25 slots for 1 s");
+        assertEquals(10, fixture.actions.sends.size() - sentBefore, "half of 2 x 2 x 0.25 slots for 1 s");
     }
 
     @Test void requestLargerThanTheBudgetIsNeverSentToAColdBackend() {
@@ -468,19 +468,19 @@
 
     /** With many dispatchers an even share of the budget holds no request, and cold backends would be idle until warm. */
     @Test void someDispatchersSendOneRequestEachWhereAnEvenShareHoldsNone() {
-        long run = 100 * MS, sent = 0;
+        long runMicros = 100 * MS, sent = 0;
         for (int index = 0; index < 40; index++) {
             fixture = new PolicyFixture();
             fixture.settings.dispatcherCount = 40;
             fixture.settings.dispatcherIndex = index;
-            long ours = Math.round(workSentToAColdBackend(60, run)) / run;
-            assertTrue(ours <= 1, "an even share is an eighth of a request, sent " + ours);
-            sent += ours;
+            long sentByThisDispatcher = Math.round(workSentToAColdBackend(60, runMicros)) / runMicros;
+            assertTrue(sentByThisDispatcher <= 1, "an even share is an eighth of a request, sent " + sentByThisDispatcher);
+            sent += sentByThisDispatcher;
         }
         assertEquals(5, sent, "half of 2 x 2 x 0.25 slots for 1 s, over all dispatchers");
     }
 
-    /** Without run times, cold backends would be idle until warm where backends do not report the start. */
+    /** Backends do not report the start. If run times were not known either, cold backends would be idle until warm. */
     @Test void runTimesAreLearnedThoughStartsAreNotReported() {
         fixture.settings.backendsReportStart = false;
         fixture.start(backend(1, BackendState.READY, 0), backend(2, BackendState.READY, 0));
@@ -497,7 +497,7 @@
         assertTrue(sent * 50 * MS <= 2 * 2 * 0.4 * SECOND, "over two windows: " + sent);
     }
 
-    /** A class that only cold backends may run would never be sent, as none of its run times is known. */
+    /** Otherwise a class that only cold backends may run would never be sent, as none of its run times is known. */
     @Test void coldBackendGetsOneRequestInTwoWindowsWhileRunTimesAreUnknown() {
         int sent = 0;
         for (int index = 0; index < 5; index++) {
@@ -516,7 +516,7 @@
         assertEquals(1, sent);
     }
 
-    /** A dispatcher with a request per second would know no run time for its first 10 s, though reports contain them. */
+    /** Otherwise a dispatcher with a request per second would know no run time for its first 10 s, though reports have them. */
     @Test void reportedRunTimesCountUntilARequestHasEnded() {
         fixture.settings.dispatcherCount = 1;
         fixture.start(backend(1, BackendState.READY, 0));
@@ -550,9 +550,9 @@
                 fixture.request(RENDER);
                 fixture.advance(10 * MS);
             }
-            for (int at = 0; at < fixture.actions.descriptions.size(); at++) {
-                if (fixture.actions.descriptions.get(at).matches("send \\d+ 2")) {
-                    times.add(fixture.actions.times.get(at));
+            for (int actionIndex = 0; actionIndex < fixture.actions.descriptions.size(); actionIndex++) {
+                if (fixture.actions.descriptions.get(actionIndex).matches("send \\d+ 2")) {
+                    times.add(fixture.actions.times.get(actionIndex));
                 }
             }
         }
--- a/src/test/java/badgermux/it/DiscoveryRecoveryIT.java
+++ b/src/test/java/badgermux/it/DiscoveryRecoveryIT.java
@@ -21,14 +21,14 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Runs the packaged program while discovery fails in each of its modes and then recovers with a changed list. The change must
- * be in force within 6 s of the time from which it could be fetched, however the calls before it failed.
+ * Runs the packaged program while discovery fails in each mode of {@link FakeDiscovery} and then recovers with a changed list.
+ * The change must be in force within 6 s of the time from which it could be fetched, in whichever way earlier calls failed.
  */
 @Timeout(90)
 class DiscoveryRecoveryIT {
     /** Limit on the time until a change is known, from when discovery has it and can be reached. */
     private static final long MAX_PROPAGATION_MILLIS = 6_000;
-    /** Limit on the time until the list of a new address is known, from the reload that sets the address. */
+    /** Limit on the time until the list of discovery at a new address is known, from the reload that sets the address. */
     private static final long MAX_MOVE_MILLIS = 4_000;
     /** Number of failures after which the retry pause has reached its maximum. */
     private static final int FAILURES_UNTIL_MAX_PAUSE = 5;
@@ -65,20 +65,20 @@
         for (int i = 0; i < 5; i++) {
             assertServedBy(program, newBackend);
         }
-        assertNull(drainingBackend.poll(), "it is draining");
+        assertNull(drainingBackend.poll(), "a draining backend is sent no request");
     }
 
-    private static void assertServedBy(Program program, FakeServer server) throws IOException, InterruptedException {
+    private static void assertServedBy(Program program, FakeServer backend) throws IOException, InterruptedException {
         try (Client client = program.client()) {
             client.send(Client.request("/preview", "5000m", "", ""));
-            server.take().sendResult("r");
+            backend.take().sendResult("r");
             assertEquals(200, client.read().status());
         }
     }
 
     /**
-     * Makes discovery refuse calls until the retry pause has reached its maximum, and then fail in a mode; returns when a call
-     * has begun in this mode.
+     * Makes discovery refuse calls until the retry pause has reached its maximum, and then fail in the given mode. Returns when
+     * a call has begun in this mode; in the mode REFUSED, when the pause has reached its maximum.
      */
     private void failDiscovery(Program program, Mode mode) throws IOException, InterruptedException {
         discovery.awaitCalls(Mode.NORMAL, 1);
@@ -96,7 +96,7 @@
         }
     }
 
-    /** Prints a measured time, and checks that it is below a limit. */
+    /** Prints a measured time, and checks that it is below the limit. */
     private void assertWithin(long limitMillis, long millis, String description) {
         System.err.println(millis + " ms: " + description);
         assertTrue(millis < limitMillis, description + ": " + millis + " ms");
@@ -125,7 +125,7 @@
         }
     }
 
-    /** An open watch falls silent just as it begins, and the list changes at the same time. */
+    /** As soon as a watch has begun, it gets no further response, and the list changes at the same time. */
     @ParameterizedTest @ValueSource(ints = {0, 1})
     void appliesChangeMissedBySilentWatchInTime(int refusals) throws IOException, InterruptedException {
         try (Program program = startProgram(Program.SETTINGS)) {
@@ -140,8 +140,8 @@
     }
 
     /**
-     * Discovery is an agent on the same host that pushes the list. What the agent has must be applied within 1 s, and within
-     * 6 s after silence.
+     * Discovery is an agent on the same host that pushes the list. A list that the agent has must be applied within 1 s of the
+     * agent's recovery, and within 6 s if the agent left a call without a whole response before.
      */
     @ParameterizedTest @CsvSource({"REFUSED,1000", "UNREACHABLE,1000", "RESET,1000", "BUSY,1000", "MALFORMED,1000",
         "SILENT,6000", "PARTIAL,6000", "TRICKLE,6000"})
@@ -173,7 +173,7 @@
         }
     }
 
-    /** The call to the old address is open or dead, and discovery at the new address has a lower revision. */
+    /** The call to the old address is open or never gets a response, and discovery at the new address has a lower revision. */
     @ParameterizedTest @EnumSource(value = Mode.class, names = {"NORMAL", "SILENT", "UNREACHABLE"})
     void appliesListOfNewAddressInTime(Mode oldMode) throws IOException, InterruptedException {
         discovery.recover(40, member("s-1", drainingBackend, "east", "SERVING"), true);
--- a/src/test/java/badgermux/it/EventOrderIT.java
+++ b/src/test/java/badgermux/it/EventOrderIT.java
@@ -49,7 +49,7 @@
 
     /**
      * Closing a socket with unread input resets the connection, and the client would lose the answer that was written before.
-     * The input arrives here just as the last answer is written.
+     * Here the input arrives before the event loop writes the last answer, and is still unread then.
      */
     @Test void finalAnswerIsReadableWhenMoreInputArrivesAtClose() throws Exception {
         client.send(Client.request("/preview", "5000m", "Connection: close\r\n", ""));
@@ -66,8 +66,8 @@
     }
 
     /**
-     * A client sends on an idle connection just as the program closes it. It must see an orderly close, so that it can send the
-     * request again on another connection.
+     * A client sends on an idle connection before it sees that the program closes it. It must see an orderly close, so that it
+     * can send the request again on another connection.
      */
     @Test void requestCrossingCloseOfIdleConnectionIsNeitherServedNorReset() throws Exception {
         client.send(Client.request("/preview", "5000m", "", ""));
@@ -85,19 +85,19 @@
     }
 
     /**
-     * Whether a client closes, half-closes or resets: its held request is not sent, and its id, connection slot and deadline are
-     * free again.
+     * A client that waits for its held request closes, half-closes or resets the connection. In each case the request is not
+     * sent, and its id, its place among the client connections and its deadline are free again.
      */
     @Test void disconnectOfWaitingClientReleasesItsRequest() throws Exception {
-        Client closes = dispatcher.client();
-        try (Client halfCloses = dispatcher.client(); Client resets = dispatcher.client()) {
-            for (Client waiting : List.of(closes, halfCloses, resets)) {
+        Client closingClient = dispatcher.client();
+        try (Client halfClosingClient = dispatcher.client(); Client resettingClient = dispatcher.client()) {
+            for (Client waiting : List.of(closingClient, halfClosingClient, resettingClient)) {
                 waiting.send(Client.request("/preview", "5000m", "", ""));
                 dispatcher.awaitRequest();
             }
-            closes.close();
-            halfCloses.halfClose();
-            resets.reset();
+            closingClient.close();
+            halfClosingClient.halfClose();
+            resettingClient.reset();
             Await.until("all clients are counted as gone", () -> dispatcher.counterValue(Count.CLIENTS_GONE) == 3);
             dispatcher.runOnEventLoop(() -> {
                 assertEquals(List.of("gone", "gone", "gone"), dispatcher.policyEvents);
@@ -109,7 +109,7 @@
         }
     }
 
-    /** The event loop is late: a request and the close of its client are read together, the close behind the request. */
+    /** The event loop is blocked, so it reads a request and the close of its client in one round, the request first. */
     @Test void doesNotSendRequestOfClientThatLeftBeforeItWasRead() throws Exception {
         openIdleConnections(1, backend, 1);
         dispatcher.sendToBackendId = 1;
@@ -122,14 +122,14 @@
         assertNull(backend.poll(), "the client had left when its request was read");
     }
 
-    /** Opens idle connections to a backend, so that later requests to it are written at once. */
-    private void openIdleConnections(long backendId, FakeServer server, int count) throws Exception {
+    /** Opens idle connections to a backend, so that later requests to it are written without waiting for a connection. */
+    private void openIdleConnections(long backendId, FakeServer receiver, int count) throws Exception {
         dispatcher.sendToBackendId = backendId;
         List<Client> clients = new ArrayList<>();
         List<FakeServer.Exchange> exchanges = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             clients.add(dispatcher.client().send(Client.request("/preview", "5000m", "", "")));
-            exchanges.add(server.take());
+            exchanges.add(receiver.take());
         }
         for (FakeServer.Exchange exchange : exchanges) {
             exchange.sendResult("x");
@@ -143,13 +143,13 @@
 
     /**
      * At the connection limit new clients wait to be accepted. The close of such a client may be read after its request, so the
-     * request is delayed for a moment before it is sent.
+     * request is held for a short time before it is sent.
      */
     @Test void delaysRequestsOfLateAcceptedClientsToDetectDisconnect() throws Exception {
         openIdleConnections(1, backend, 1);
-        List<Client> crowd = new ArrayList<>();
+        List<Client> otherClients = new ArrayList<>();
         for (int i = 0; i < InProcessDispatcher.MAX_CLIENTS; i++) {
-            crowd.add(dispatcher.client());
+            otherClients.add(dispatcher.client());
         }
         Await.until("the connection limit is reached",
             () -> dispatcher.clientConnections() == 1 + InProcessDispatcher.MAX_CLIENTS);
@@ -173,8 +173,8 @@
             assertEquals(2, dispatcher.counterValue(Count.FETCHES_WRITTEN),
                 "the request that opened the connection and that of the client that stayed");
         }
-        for (Client crowdClient : crowd) {
-            crowdClient.close();
+        for (Client otherClient : otherClients) {
+            otherClient.close();
         }
     }
 
@@ -245,16 +245,16 @@
      */
     @Test void answersEvictedClientThatSentHalfARequest() throws Exception {
         client.send("POST /preview HTTP/1.1\r\nHost: x\r\n");
-        List<Client> crowd = new ArrayList<>();
+        List<Client> otherClients = new ArrayList<>();
         Await.until("an eviction", () -> {
             Client next = dispatcher.client();
-            crowd.add(next);
+            otherClients.add(next);
             next.send(Client.request("/preview", "5000m", "", ""));
             return dispatcher.counterValue(Count.CLIENT_CONNECTIONS_EVICTED) > 0;
         });
         assertEquals(503, client.read().status());
-        for (Client crowdClient : crowd) {
-            crowdClient.close();
+        for (Client otherClient : otherClients) {
+            otherClient.close();
         }
     }
 
@@ -263,11 +263,11 @@
      * begins.
      */
     @Test void doesNotRetryForClientThatLeftBeforeOutcomeWasRead() throws Exception {
-        FakeServer other = new FakeServer();
+        FakeServer otherBackend = new FakeServer();
         List<Client> clients = new ArrayList<>();
         List<FakeServer.Exchange> exchanges = new ArrayList<>();
-        dispatcher.runOnEventLoop(() -> dispatcher.backendClient.setAddress(2, addressOf(other)));
-        openIdleConnections(2, other, 8);
+        dispatcher.runOnEventLoop(() -> dispatcher.backendClient.setAddress(2, addressOf(otherBackend)));
+        openIdleConnections(2, otherBackend, 8);
         long writtenBefore = dispatcher.counterValue(Count.FETCHES_WRITTEN);
         dispatcher.sendToBackendId = 1;
         dispatcher.retryBackendId = () -> 2L;
@@ -284,8 +284,8 @@
         });
         Await.until("the other connections are closed", () -> dispatcher.clientConnections() == 1);
         assertEquals(writtenBefore + exchanges.size(), dispatcher.counterValue(Count.FETCHES_WRITTEN));
-        assertNull(other.poll(), "no retry for a client that has left");
-        other.close();
+        assertNull(otherBackend.poll(), "no retry for a client that has left");
+        otherBackend.close();
     }
 
     /** The connection to a backend is established in the same round of the event loop in which the client's close is read. */
@@ -338,31 +338,31 @@
      * after that it must get no new request, so the unsent attempt goes to another backend.
      */
     @Test void movesUnsentAttemptWhenBackendDrainsLeavesOrMoves() throws Exception {
-        FakeServer other = new FakeServer();
+        FakeServer otherBackend = new FakeServer();
         dispatcher.sendToBackendId = 1;
         dispatcher.runOnEventLoop(() -> {
-            dispatcher.backendClient.setAddress(2, addressOf(other));
+            dispatcher.backendClient.setAddress(2, addressOf(otherBackend));
             dispatcher.submitWithoutClient();
             dispatcher.sendToBackendId = 2;
             dispatcher.backendClient.withdrawUnsentAttempts(1);
         });
-        assertEquals("POST /preview HTTP/1.1", other.take().head.lines().findFirst().orElseThrow());
+        assertEquals("POST /preview HTTP/1.1", otherBackend.take().head.lines().findFirst().orElseThrow());
         dispatcher.sendToBackendId = 2;
         dispatcher.runOnEventLoop(() -> {
             dispatcher.submitWithoutClient();
             dispatcher.sendToBackendId = 3;
-            dispatcher.backendClient.setAddress(3, addressOf(other));
+            dispatcher.backendClient.setAddress(3, addressOf(otherBackend));
             dispatcher.backendClient.removeBackend(2);
         });
-        other.take();
+        otherBackend.take();
         dispatcher.runOnEventLoop(() -> {
             dispatcher.sendToBackendId = 1;
             dispatcher.submitWithoutClient();
-            dispatcher.backendClient.setAddress(1, addressOf(other));
+            dispatcher.backendClient.setAddress(1, addressOf(otherBackend));
         });
-        other.take();
+        otherBackend.take();
         assertNull(backend.poll(), "nothing is written to a backend that drained, left or moved");
-        other.close();
+        otherBackend.close();
     }
 
     /**
@@ -370,26 +370,29 @@
      * is still open.
      */
     @Test void closesConnectionOfRejectedAttemptBeforeRetry() throws Exception {
-        FakeServer other = new FakeServer();
+        FakeServer otherBackend = new FakeServer();
         List<Long> connectionsAtRetry = new ArrayList<>();
         dispatcher.sendToBackendId = 1;
         dispatcher.retryBackendId = () -> {
             connectionsAtRetry.add(dispatcher.backendConnectionsOnEventLoop());
             return 2L;
         };
-        dispatcher.runOnEventLoop(() -> dispatcher.backendClient.setAddress(2, addressOf(other)));
+        dispatcher.runOnEventLoop(() -> dispatcher.backendClient.setAddress(2, addressOf(otherBackend)));
         dispatcher.runOnEventLoop(dispatcher::submitWithoutClient);
         backend.take().send("HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 9\r\n\r\nnot");
-        other.take().sendResult("r");
+        otherBackend.take().sendResult("r");
         dispatcher.runOnEventLoop(dispatcher::submitWithoutClient);
         backend.take().sendStarted().sendLine("returned", "");
-        other.take().sendResult("r");
+        otherBackend.take().sendResult("r");
         dispatcher.runOnEventLoop(() -> assertEquals(List.of(0L, 1L), connectionsAtRetry,
             "only the idle connection to the other backend is open"));
-        other.close();
+        otherBackend.close();
     }
 
-    /** A second response to a probe has no id. On a connection that stayed in use, it would end the next request sent there. */
+    /**
+     * A backend might send a second response after a failed probe. It has no id, so on a connection that stayed in use it would
+     * be taken for the response to the next request there.
+     */
     @Test void closesConnectionAfterFailedProbe() throws Exception {
         dispatcher.runOnEventLoop(() -> dispatcher.backendClient.probe(1));
         FakeServer.Exchange probe = backend.take();
@@ -463,26 +466,26 @@
         });
         newDiscovery.take().reply("200 OK", list.replace("5", "6"));
         assertTrue(newDiscovery.take().head.startsWith("GET /v1/servers?since=6&"));
-        assertNull(newDiscovery.poll(), "one call however often the address is set");
+        assertNull(newDiscovery.poll(), "one call, even if the address is set several times");
         dispatcher.runOnEventLoop(() -> assertEquals(List.of("CACHED 0", "FAILED 0", "FULL 0"), dispatcher.policyEvents));
         newDiscovery.close();
         oldDiscovery.close();
     }
 
-    /** What a client may send ahead of its turn is bounded; beyond the bound it gets a 413. */
+    /** A client may send only so many bytes before its earlier request is answered; beyond the limit it gets a 413. */
     @Test void answers413WhenTooMuchIsPipelined() throws Exception {
         client.send(Client.request("/preview", "5000m", "", ""));
         dispatcher.awaitRequest();
-        Thread flood = new Thread(() -> {
+        Thread sender = new Thread(() -> {
             try {
                 client.send(Client.request("/preview", "5000m", "", "") + "x".repeat(3 << 20));
             } catch (IOException e) {
                 // expected: the program closes the connection
             }
         });
-        flood.start();
+        sender.start();
         assertEquals(413, client.read().status());
-        flood.join(TimeUnit.SECONDS.toMillis(FakeServer.TIMEOUT_SECONDS));
+        sender.join(TimeUnit.SECONDS.toMillis(FakeServer.TIMEOUT_SECONDS));
         assertTrue(dispatcher.hasPolicyEvent("gone"), "the open request has ended as well");
         Await.until("the connection is closed", () -> dispatcher.clientConnections() == 0);
     }
--- a/src/test/java/badgermux/it/FakeServer.java
+++ b/src/test/java/badgermux/it/FakeServer.java
@@ -18,7 +18,7 @@
  * backend or for a discovery service.
  */
 final class FakeServer implements Closeable {
-    /** How long tests wait for an event before they fail. */
+    /** Time for which tests wait for an event before they fail. */
     static final int TIMEOUT_SECONDS = 10;
 
     /** A received request and the connection on which the test responds. */
@@ -28,30 +28,31 @@
         /** The server that received the request. */
         final FakeServer receiver;
         private final Socket socket;
-        private final CountDownLatch ended;
+        /** Reaches 0 when the other side has closed the connection. */
+        private final CountDownLatch closed;
 
-        Exchange(String head, String body, FakeServer receiver, Socket socket, CountDownLatch ended) {
+        Exchange(String head, String body, FakeServer receiver, Socket socket, CountDownLatch closed) {
             this.head = head;
             this.body = body;
             this.receiver = receiver;
             this.socket = socket;
-            this.ended = ended;
+            this.closed = closed;
         }
 
         String header(String name) {
             return Client.header(head, name);
         }
 
-        /** Sends text as it is. */
+        /** Sends text without a change, such as a part of a response. */
         Exchange send(String text) throws IOException {
             socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
             return this;
         }
 
         /** Sends a whole response with a Content-Length. */
-        void reply(String statusAndHeaders, String content) throws IOException {
+        void reply(String statusAndHeaders, String responseBody) throws IOException {
             send("HTTP/1.1 " + statusAndHeaders + "\r\nContent-Length: "
-                + content.getBytes(StandardCharsets.UTF_8).length + "\r\n\r\n" + content);
+                + responseBody.getBytes(StandardCharsets.UTF_8).length + "\r\n\r\n" + responseBody);
         }
 
         /** Sends the head of a chunked response and its first line, with the state {@code started}. */
@@ -62,10 +63,10 @@
         /**
          * Sends one JSON line as a chunk.
          *
-         * @param more further members of its object, each after a comma; may be empty
+         * @param moreMembers further members of the JSON object, each with a comma before it; may be empty
          */
-        Exchange sendLine(String state, String more) throws IOException {
-            String line = "{\"id\":\"" + header("X-Request-ID") + "\",\"from\":\"s\",\"state\":\"" + state + "\"" + more
+        Exchange sendLine(String state, String moreMembers) throws IOException {
+            String line = "{\"id\":\"" + header("X-Request-ID") + "\",\"from\":\"s\",\"state\":\"" + state + "\"" + moreMembers
                 + "}\n";
             return send(Integer.toHexString(line.getBytes(StandardCharsets.UTF_8).length) + "\r\n" + line + "\r\n");
         }
@@ -88,11 +89,11 @@
 
         /** Waits for the other side to close the connection; returns whether it did within the timeout. */
         boolean isClosedByClient() throws InterruptedException {
-            return ended.await(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+            return closed.await(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         }
     }
 
-    private final ServerSocket server;
+    private final ServerSocket serverSocket;
     private final BlockingQueue<Exchange> exchanges = new LinkedBlockingQueue<>();
 
     FakeServer() throws IOException {
@@ -101,10 +102,10 @@
 
     /** Listens on the given port; 0 for any free one. */
     FakeServer(int port) throws IOException {
-        server = new ServerSocket(port, 50, InetAddress.getLoopbackAddress());
+        serverSocket = new ServerSocket(port, 50, InetAddress.getLoopbackAddress());
         startDaemon(() -> {
             while (true) {
-                Socket socket = server.accept();
+                Socket socket = serverSocket.accept();
                 startDaemon(() -> serve(socket));
             }
         });
@@ -114,10 +115,10 @@
         void run() throws IOException;
     }
 
-    private static void startDaemon(IoTask work) {
+    private static void startDaemon(IoTask task) {
         Thread thread = new Thread(() -> {
             try {
-                work.run();
+                task.run();
             } catch (IOException e) {
                 // the test or the program has closed the connection
             }
@@ -127,36 +128,36 @@
     }
 
     private void serve(Socket socket) throws IOException {
-        CountDownLatch ended = new CountDownLatch(1);
+        CountDownLatch closed = new CountDownLatch(1);
         try {
             InputStream in = socket.getInputStream();
             for (String head = Client.readHead(in); head != null; head = Client.readHead(in)) {
                 String length = Client.header(head, "Content-Length");
                 byte[] body = in.readNBytes(length == null ? 0 : Integer.parseInt(length));
-                exchanges.add(new Exchange(head, new String(body, StandardCharsets.UTF_8), this, socket, ended));
+                exchanges.add(new Exchange(head, new String(body, StandardCharsets.UTF_8), this, socket, closed));
             }
         } finally {
-            ended.countDown();
+            closed.countDown();
         }
     }
 
-    /** Returns the port that it listens on. */
+    /** Returns the port on which this server listens. */
     int port() {
-        return server.getLocalPort();
+        return serverSocket.getLocalPort();
     }
 
-    /** Returns its address as HOST:PORT. */
+    /** Returns the address of this server as HOST:PORT. */
     String address() {
-        return "127.0.0.1:" + server.getLocalPort();
+        return "127.0.0.1:" + serverSocket.getLocalPort();
     }
 
     /** Waits for the next request and takes it from the queue. */
     Exchange take() throws InterruptedException {
-        Exchange call = exchanges.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
-        if (call == null) {
+        Exchange exchange = exchanges.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+        if (exchange == null) {
             throw new AssertionError("no request received in time");
         }
-        return call;
+        return exchange;
     }
 
     /** Responds to each request with this result; throws an {@link AssertionError} once none arrives within the timeout. */
@@ -181,7 +182,7 @@
     }
 
     @Override public void close() throws IOException {
-        server.close();
+        serverSocket.close();
     }
 
     /** Reads up to and including an empty line; null if the stream ends before it. */
--- a/src/test/java/badgermux/it/HotRestartIT.java
+++ b/src/test/java/badgermux/it/HotRestartIT.java
@@ -30,7 +30,7 @@
     private FakeServer firstBackend;
     private FakeServer secondBackend;
     private Supervisor supervisor;
-    /** Null in tests without load. */
+    /** Sends requests throughout the test; null in tests that send single requests. */
     private LoadGenerator load;
     private final AtomicBoolean isStopped = new AtomicBoolean();
     private final AtomicInteger executedCount = new AtomicInteger();
@@ -65,7 +65,7 @@
             try {
                 task.run();
             } catch (IOException | InterruptedException | AssertionError e) {
-                // the test fails by its counts
+                // the requests that are not answered now fail the test
             }
         });
         threads.add(thread);
@@ -105,10 +105,10 @@
         load.endAndAwaitResponses();
         assertEquals(0, load.failed.get());
         assertEquals(load.sent.get(), load.served.get());
-        assertTrue(load.crossedCloses.get() <= 2, "closes that crossed a request: " + load.crossedCloses);
+        assertTrue(load.crossedCloses.get() <= 2, "connections closed while a request was on its way: " + load.crossedCloses);
         assertEquals(load.served.get(), executedCount.get(), "each request runs once");
         long servedByPrevious = Long.parseLong(previous.output().replaceAll("(?s).*badgermux_answers_served (\\d+)\n.*", "$1"));
-        assertTrue(servedByPrevious >= 50, "the previous process prints its counters at its exit");
+        assertTrue(servedByPrevious >= 50, "the previous process prints at its exit that it served 50 requests or more");
         assertEquals(load.served.get(), servedByPrevious + next.dumpValue("transactions.publish.answered"));
     }
 
@@ -123,7 +123,7 @@
                 "127.0.0.1:" + silentConsole.getLocalPort() + " secret\n");
             Supervisor.Instance next = supervisor.start();
             try (Socket link = silentConsole.accept()) {
-                assertEquals('T', link.getInputStream().read(), "TAKEOVER");
+                assertEquals('T', link.getInputStream().read(), "the new process sends TAKEOVER");
                 next.signal("TERM");
                 next.awaitExit();
                 assertFalse(next.log().contains("listens on"), next.log());
@@ -174,8 +174,9 @@
         Supervisor.Instance third = supervisor.start();
         third.awaitReady();
         assertEquals(1, third.dumpValue("cluster_unhealthy"));
-        try (var out = Files.list(folder.resolve("badgermux-n/out"))) {
-            assertEquals(List.of("732d32"), out.map(file -> file.getFileName().toString()).toList());
+        try (var outFiles = Files.list(folder.resolve("badgermux-n/out"))) {
+            // the file of s-2: its name is that of the backend in hexadecimal
+            assertEquals(List.of("732d32"), outFiles.map(file -> file.getFileName().toString()).toList());
         }
     }
 
@@ -241,6 +242,7 @@
         assertEquals(load.served.get(), executedCount.get());
     }
 
+    /** A client connects after the previous process has exited and before the next one starts. */
     @Test void nextProcessServesClientsThatConnectedInBetween() throws IOException, InterruptedException {
         Supervisor.Instance previous = supervisor.start();
         previous.awaitReady();
@@ -255,7 +257,7 @@
         }
     }
 
-    /** The list of the previous process says that a backend drains; the list of the configuration is older and does not. */
+    /** The previous process knows from discovery that a backend drains; the older list in the configuration says it serves. */
     @Test void nextProcessKeepsBackendsDraining() throws IOException, InterruptedException {
         Supervisor.Instance previous = supervisor.start();
         previous.awaitReady();
--- a/src/test/java/badgermux/it/InProcessDispatcher.java
+++ b/src/test/java/badgermux/it/InProcessDispatcher.java
@@ -22,9 +22,9 @@
 import java.util.function.Supplier;
 
 /**
- * The dispatcher around the policy in the test's own process, on real sockets and an event loop that a test can block. What
- * clients and servers send meanwhile stays in the kernel's buffers, which makes the order of events reproducible. The policy
- * does what the test sets and records its events.
+ * A dispatcher in the test's own process: the real engine, frontend and backend client with a policy that does what the test
+ * sets and records its events. It uses real sockets and an event loop that a test can block. While it is blocked, what clients
+ * and backends send stays in the kernel's buffers, which makes the order of events reproducible.
  */
 final class InProcessDispatcher implements Closeable {
     /** A task on the event loop. */
@@ -50,11 +50,11 @@
     private DispatchPolicy.Request lastRequest;
     /** The backend to which the policy sends each request at once; 0 to hold the requests. */
     long sendToBackendId;
-    /** Supplies the backend for the retry of a rejected attempt, called in the event itself; null to retry nothing. */
+    /** Supplies the backend for the retry of a rejected attempt; called while the policy handles its end. Null for no retries. */
     Supplier<Long> retryBackendId;
     /** The times at which the policy was asked for a final answer before the process exits. */
     final List<Long> exitAnswerTimesMicros = new ArrayList<>();
-    /** Whether the policy refuses the request then; otherwise the engine has to fail it. */
+    /** Whether the policy refuses a request when asked for its answer before the exit; if not, the engine has to fail it. */
     boolean refusesBeforeExit = true;
     /** Called on the event loop after each request that the policy receives. */
     Runnable onRequestReceived = () -> { };
@@ -111,25 +111,25 @@
 
     /** Submits a request without a client connection and returns its id; called on the event loop. */
     long submitWithoutClient() {
-        ResponseListener noListener = new ResponseListener() {
+        ResponseListener ignoringListener = new ResponseListener() {
             @Override public void onServed(byte[] result) { }
 
-            @Override public void onRefused(long retryAfter) { }
+            @Override public void onRefused(long retryAfterMicros) { }
 
             @Override public void onFailed(boolean timedOut) { }
         };
         String head = "POST /preview HTTP/1.1";
         String id = Client.nextRequestId();
-        return engine.submit(noListener, new ForwardedRequest(id, head, "X-Request-ID: " + id + "\r\n", new byte[0], null), 0, 0,
-            1, clock.nowMicros() + 5_000_000, true);
+        return engine.submit(ignoringListener, new ForwardedRequest(id, head, "X-Request-ID: " + id + "\r\n", new byte[0], null),
+            0, 0, 1, clock.nowMicros() + 5_000_000, true);
     }
 
-    /** Returns the number of open connections to backends. */
+    /** Returns the number of open connections to backends, read on the event loop; called on another thread. */
     long backendConnections() throws Exception {
         return readGauge("backend_connections_open");
     }
 
-    /** The same, called on the event loop. */
+    /** Returns the number of open connections to backends; called on the event loop. */
     long backendConnectionsOnEventLoop() {
         return gaugeValue("backend_connections_open");
     }
@@ -141,7 +141,7 @@
         return value[0];
     }
 
-    /** Returns the number of open connections of clients. */
+    /** Returns the number of open connections of clients, read on the event loop. */
     long clientConnections() throws Exception {
         return readGauge("client_connections_open");
     }
@@ -172,7 +172,10 @@
         }).get();
     }
 
-    /** Runs a task that many tasks later in the same iteration of the event loop; called on it. */
+    /**
+     * Puts a task at the end of the event loop's queue, {@code count} times in succession, and then runs it, all in the same
+     * iteration of the event loop; called on the event loop.
+     */
     void runAfterTasks(int count, EventLoopTask task) {
         eventLoop.next().execute(() -> {
             if (count > 1) {
@@ -191,7 +194,7 @@
         eventLoop.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
-    /** Does what the fields of this dispatcher say, and records its events. */
+    /** Acts as the fields of the enclosing dispatcher say, and records the events that it is given. */
     private final class ScriptedPolicy implements DispatchPolicy {
         @Override public LearnedState exportLearnedState() {
             return new LearnedState(new double[0], List.of());
--- a/src/test/java/badgermux/it/LoadGenerator.java
+++ b/src/test/java/badgermux/it/LoadGenerator.java
@@ -7,12 +7,13 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Sends requests of the class publish one after another on persistent connections, and counts them. */
+/** Clients that send requests of the class publish, each one after another on a persistent connection, with their counts. */
 final class LoadGenerator implements Closeable {
+    /** Requests begun; one that is sent again counts once. */
     final AtomicInteger sent = new AtomicInteger();
-    /** Requests answered 200. */
+    /** Requests answered with status 200. */
     final AtomicInteger served = new AtomicInteger();
-    /** Requests sent while the program was closing their connection; each is sent again. */
+    /** Requests without a response to the first sending, as when the program was closing the connection; each is sent again. */
     final AtomicInteger crossedCloses = new AtomicInteger();
     /** Requests that got no response when sent again. */
     final AtomicInteger failed = new AtomicInteger();
@@ -21,9 +22,9 @@
     private final List<Thread> threads = new ArrayList<>();
 
     /** Starts the clients, each on a thread of its own. */
-    LoadGenerator(Supervisor supervisor, int clients) {
+    LoadGenerator(Supervisor supervisor, int clientCount) {
         this.supervisor = supervisor;
-        for (int i = 0; i < clients; i++) {
+        for (int i = 0; i < clientCount; i++) {
             Thread thread = new Thread(() -> {
                 try {
                     Client client = supervisor.client();
@@ -35,7 +36,7 @@
                     }
                     client.close();
                 } catch (IOException e) {
-                    // the test fails by its counts
+                    // the client stops; its last request stays without a response in the counts
                 }
             });
             threads.add(thread);
@@ -44,8 +45,9 @@
     }
 
     /**
-     * Sends a request, once more on a new connection if the connection was closed instead of an answer: as the protocol
-     * allows, a close may cross a request on a connection that was used before. Returns the connection for the next request.
+     * Sends a request, and sends it once more on a new connection if it got no response: the protocol allows the program to
+     * close a connection that was used before at the moment at which the client sends on it. Returns the connection for the
+     * next request.
      */
     private Client sendWithRetry(Client connection, String request) throws IOException {
         Client client = connection;
@@ -69,13 +71,13 @@
         }
     }
 
-    /** Waits until that many more requests have been answered 200. */
-    void awaitMoreServed(int more) {
+    /** Waits until this number of further requests have been answered with status 200. */
+    void awaitMoreServed(int count) {
         int servedBefore = served.get();
-        Await.until("more served requests", () -> served.get() >= servedBefore + more);
+        Await.until("more served requests", () -> served.get() >= servedBefore + count);
     }
 
-    /** Stops sending and waits until no request is open. */
+    /** Stops sending and waits until each request is served or failed; times out if one was answered with another status. */
     void endAndAwaitResponses() {
         isEnded.set(true);
         Await.until("responses to all requests", () -> served.get() + failed.get() >= sent.get());
